--- /dev/null
+++ b/tests/test_golden.py
@@ -0,0 +1,736 @@
+"""The bytes on disk, on every wire and in what commands print, held to data that was recorded before.
+
+``tests/data/golden`` holds bytes and plain values under labels that name no class and no field of the code. All that is
+made of the code's own names is made in the builders below, mostly by position: a rename in the code needs a new name
+here, and never new data. Data changes only with a format, and then on purpose.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+import io
+import json
+import shutil
+import tempfile
+import tomllib
+import unittest
+from enum import Enum
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+from unittest import mock
+
+import lmdb
+import msgspec
+import typer.main
+from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
+from twisted.internet.testing import MemoryReactorClock, StringTransport
+from typer.testing import CliRunner
+
+from lotuspick import adapter, interface
+from lotuspick.cells import model as cells_model
+from lotuspick.entitlement import ledger as seat_ledger
+from lotuspick.entitlement import model as seat_model
+from lotuspick.entitlement.tokens import Checker, PublicKey, sign
+from lotuspick.membership import guide as fleet_guide
+from lotuspick.membership import members as fleet_members
+from lotuspick.membership import model as fleet_model
+from lotuspick.membership import standing as fleet_standing
+from lotuspick.program import cells as cells_commands
+from lotuspick.program import cli, config, entitled
+from lotuspick.program import keys as keys_commands
+from lotuspick.program import members as members_commands
+from lotuspick.program import peers as peers_program
+from lotuspick.program import seats as seats_commands
+from lotuspick.protocol import cmcd, cmsd, coordinator, edge, nodes, rtsp
+from lotuspick.routing import endings, ports
+from lotuspick.steps import Asked, Heard, Send, Started, Write
+from lotuspick.transport import control, peers
+from lotuspick.transport import keys as key_folder
+from lotuspick.transport import seats as seat_store
+from lotuspick.transport.lasting import StepStore
+
+DATA = Path(__file__).parent / "data" / "golden"
+SESSION = "00c0ffee00c0ffee"
+AWAKE_US = 7_000_000
+
+
+# ---- builders: the one place that knows names of the code ---------------------------------------------------
+
+
+def seat_records() -> list[seat_ledger.Record]:
+    """A seat in each state, with every field set somewhere."""
+    make, state = seat_ledger.Record, seat_ledger.State
+    return [
+        make("seat-a", state.FREE),
+        make("seat-b", state.RESERVED, "s-b", "viewer-b", 1, 1_800_000_100, 2),
+        make("seat-c", state.DOUBT, "s-c", "viewer-c", 2, 1_800_000_200, 5, False, 0, 0, ("s-x", "s-y")),
+        make("seat-d", state.COUNTED, "s-d", "viewer-d", 3, 1_800_000_300, 6, True, 1_700_000_001),
+        make(
+            "seat-e", state.VACANT, "s-e", "viewer-e", 4, 1_800_000_400, 7, True, 1_700_000_002, 1_700_000_009
+        ),
+        make(
+            "seat-\u00e9",
+            state.RELEASED,
+            "s-f",
+            "viewer-f",
+            5,
+            1_800_000_500,
+            8,
+            True,
+            1_700_000_003,
+            1_700_000_010,
+        ),
+    ]
+
+
+def write_seat_store(path: Path) -> None:
+    store = seat_store.SeatStore(path, 1, sync=False)
+    store.write(seat_records())
+    store.close()
+
+
+def fleet_record(name: str = "broker-a", **changes: Any) -> fleet_model.Record:
+    """What is believed of a broker, with every field set."""
+    whole = fleet_model.Record(
+        name, 3, 2**62 + 1, 4, fleet_model.State.ALIVE, "10.0.0.1:7400", "zone-1", "0.1.0", ("relay", "lead")
+    )
+    return msgspec.structs.replace(whole, **changes)
+
+
+def fleet_news() -> list[fleet_model.News]:
+    return [
+        fleet_record(),
+        fleet_model.Record("broker-b", 1, 9),
+        fleet_record("broker-c", state=fleet_model.State.DEAD),
+        fleet_record("broker-d", state=fleet_model.State.LEFT),
+        fleet_model.Accusation("broker-b", 1, 9, 2, "broker-a"),
+    ]
+
+
+def fleet_messages() -> dict[str, fleet_model.Message]:
+    """Every kind of message that brokers send each other, with all fields and with defaults."""
+    return {
+        "ping": fleet_model.Ping(1, fleet_news()),
+        "ping, no news": fleet_model.Ping(2),
+        "ack": fleet_model.Ack(3, "broker-b", fleet_news()),
+        "ack, no news": fleet_model.Ack(4),
+        "relay": fleet_model.Relay(5, "broker-c", fleet_news()),
+        "relay, no news": fleet_model.Relay(6, "broker-c"),
+        "sync": fleet_model.Sync(
+            [each for each in fleet_news() if isinstance(each, fleet_model.Record)], True
+        ),
+        "sync, nothing": fleet_model.Sync([]),
+        "digest": fleet_model.Digest(2**64 - 1),
+    }
+
+
+def fleet_frames() -> dict[str, Any]:
+    """What goes over TCP."""
+    numbered = {
+        f"in order: {label}": peers.Numbered(at, message)
+        for at, (label, message) in enumerate(fleet_messages().items(), 1)
+    }
+    return {
+        "hello": peers.Hello("10.0.0.1:7400", 1, 2**62 + 3),
+        "hello, defaults": peers.Hello("10.0.0.2:7400"),
+        **numbered,
+    }
+
+
+def fleet_datagrams() -> dict[str, peers.Envelope]:
+    """What goes over UDP."""
+    return {
+        f"datagram: {label}": peers.Envelope("10.0.0.1:7400", each)
+        for label, each in fleet_messages().items()
+    }
+
+
+def started_member(records: dict[str, bytes], out: list[Any]) -> fleet_members.Members:
+    """A broker that starts by a fixed seed; what it wants done is added to ``out``."""
+    member = fleet_members.Members()
+    out += member.step(1_000_000, Started(records, 5))
+    begin = fleet_members.Begin(
+        "broker-x", "10.0.0.9:7400", ("10.0.0.1:7400",), "zone-2", "0.1.0", ("relay",)
+    )
+    out += member.step(1_000_000, Asked(begin))
+    return member
+
+
+def member_conversation(records: dict[str, bytes]) -> list[Any]:
+    """What a broker wants done as it starts, joins, hears of an earlier self, is pinged and is asked for all."""
+    out: list[Any] = []
+    member = started_member(records, out)
+    earlier = fleet_record("broker-x", life=6)
+    for message in (
+        fleet_model.Sync([fleet_record(), earlier]),
+        fleet_model.Ping(11, [fleet_model.Record("broker-b", 1, 9, address="10.0.0.2:7400")]),
+        fleet_model.Relay(12, "broker-b"),
+        fleet_model.Digest(1),
+        fleet_model.Sync([], True),
+    ):
+        out += member.step(2_000_000, Heard("10.0.0.1:7400", message))
+    return out
+
+
+def member_digest_answers(value: int) -> list[Any]:
+    """What a broker that knows one other, and no random number, answers to a digest."""
+    member = fleet_members.Members()
+    member.step(0, Started({}, 5))
+    member.step(0, Asked(fleet_members.Begin("broker-x", "10.0.0.9:7400")))
+    member.step(0, Heard("10.0.0.1:7400", fleet_model.Sync([fleet_record()])))
+    return [
+        each
+        for each in member.step(0, Heard("10.0.0.1:7400", fleet_model.Digest(value)))
+        if isinstance(each, Send)
+    ]
+
+
+def sent(effects: list[Any]) -> list[list[Any]]:
+    """Messages among effects: to whom, whether in order, and the bytes."""
+    return [
+        [each.peer, each.sure, peers.ENCODE(each.message).hex()] for each in effects if isinstance(each, Send)
+    ]
+
+
+def written(effects: list[Any]) -> list[tuple[str, bytes]]:
+    """Records among effects."""
+    return [(each.key, each.record) for each in effects if isinstance(each, Write)]
+
+
+def write_member_store(path: Path) -> None:
+    store = StepStore(path, 1, sync=False)
+    store.write(written(member_conversation({})))
+    store.close()
+
+
+def operators_part(folder: Path) -> peers_program.PeersPart:
+    """The part that answers operators, among three others, without a network."""
+    (folder / "peers.toml").write_text((DATA / "peers.toml").read_text(encoding="utf-8"), encoding="utf-8")
+    told = config.read_peers(folder / "peers.toml")
+    broker: Any = SimpleNamespace(
+        config=SimpleNamespace(
+            name="broker-x", peers=told, settings=SimpleNamespace(classes=[], zone="zone-2")
+        ),
+        reactor=MemoryReactorClock(),
+    )
+    part = peers_program.PeersPart(broker)
+    part.members = part.driver.machine = member = started_member({}, [])
+    part.driver.clock = lambda: AWAKE_US
+    names = ("broker-a", "broker-b", "broker-c")
+    records = [fleet_record(name, address=f"10.0.0.{at}:7400") for at, name in enumerate(names, 1)]
+    member.step(2_000_000, Heard("10.0.0.1:7400", fleet_model.Sync(records)))
+    accusation = fleet_model.Accusation("broker-b", 3, 2**62 + 1, 4, "broker-a")
+    member.step(3_000_000, Heard("10.0.0.1:7400", fleet_model.Ping(1, [accusation])))
+    part.link.counts["not-dialled"] = 2
+    return part
+
+
+def operators_answers(folder: Path) -> dict[str, str]:
+    """Each answer to an operator, as a line on the wire."""
+    part = operators_part(folder)
+    asked = {
+        "show": b'{"ask": "show"}',
+        "explain": b'{"ask": "explain", "name": "broker-b"}',
+        "drain": b'{"ask": "drain", "name": "broker-c"}',
+        "unknown member": b'{"ask": "explain", "name": "broker-q"}',
+        "unknown question": b'{"ask": "sing"}',
+    }
+    answers = {}
+    with mock.patch.object(peers_program, "awake_us", lambda: AWAKE_US):
+        for label, line in asked.items():
+            operator = control.ControlPort(part.answer).buildProtocol(None)
+            transport = StringTransport()
+            operator.makeConnection(transport)
+            operator.dataReceived(line + b"\n")
+            operator.setTimeout(None)
+            answers[label] = transport.value().decode()
+    part.close()
+    return answers
+
+
+def fleet_reasons() -> dict[str, str]:
+    """The reason with which a paid session is turned away in each standing; it goes out to viewers."""
+    rules = fleet_standing.StandingRules(3)
+    request = interface.SessionRequest(SESSION, "exam", "lesson", 0, 1, 0, 0)
+    reasons = {}
+    for standing in fleet_standing.Standing:
+        standings = fleet_standing.Standings(rules)
+        standings.now = standing
+        guide = fleet_guide.FleetGuide(standings, frozenset({"exam"}), lambda: 0)
+        reasons[str(int(standing))] = guide.bounds(0, request).reason
+    return reasons
+
+
+def words() -> dict[str, list[Any]]:
+    """Words and numbers that enumerations put into records, answers and log lines."""
+    return {
+        "state of a seat": [[int(each), each.name] for each in seat_ledger.State],
+        "verdict on a seat": [each.value for each in seat_ledger.Verdict],
+        "fault of a token": [each.value for each in seat_model.Fault],
+        "state of a broker": [[int(each), each.name] for each in fleet_model.State],
+        "standing of a broker": [[int(each), each.name] for each in fleet_standing.Standing],
+        "ending": [[each.value, endings.OUTCOMES[each]] for each in endings.Ending],
+    }
+
+
+def rtsp_messages() -> dict[str, bytes]:
+    """Every kind of message to a viewer."""
+    served = rtsp.response(rtsp.SERVED, "1", SESSION, b"v=0\r\nd\x00\xff")
+    statuses = (
+        rtsp.BAD_REQUEST,
+        rtsp.FORBIDDEN,
+        rtsp.NO_BANDWIDTH,
+        rtsp.FAILED,
+        rtsp.NOT_READY,
+        rtsp.NOT_IMPLEMENTED,
+    )
+    return {
+        "served": served,
+        "served, no session": rtsp.response(rtsp.SERVED, "3"),
+        "refused, gap": rtsp.response(rtsp.NO_BANDWIDTH, "1", SESSION, gap_ms=1_500),
+        "refused, reason": rtsp.response(
+            rtsp.NO_BANDWIDTH, "1", SESSION, gap_ms=20, why="token-expired\r\n x\u00e9"
+        ),
+        **{f"status {each}": rtsp.response(each, "7", SESSION) for each in statuses},
+        **{f"over: {each.value}": rtsp.release(SESSION, each) for each in endings.Ending},
+    }
+
+
+def read_rtsp(text: str) -> list[Any]:
+    """What the decoder makes of the bytes of one message, and of a set-up what goes to the loop."""
+    decoder = rtsp.Decoder()
+    head, _, body = text.encode("latin-1").partition(b"\r\n\r\n")
+    lengths = [decoder.line(line) for line in [*head.split(b"\r\n"), b""]]
+    message = decoder.body(body)
+    terms = rtsp.Terms(frozenset({"clip", "exam"}), 64, 4)
+    asked = rtsp.read_set_up(message, 1_000_000, terms) if message.method == "SETUP" else None
+    return [lengths[-1], plain(message), type_word(asked), plain(asked)]
+
+
+def type_word(asked: ports.Asked | None) -> str:
+    """Which kind of set-up it is, in a neutral word."""
+    if asked is None:
+        return "none"
+    return "plays already" if isinstance(asked.request, interface.SessionPlaying) else "asks"
+
+
+def edge_messages() -> dict[str, bytes]:
+    """Every kind of message to an edge server."""
+    ask = ports.SetUp(SESSION, "exam", "lesson-\u00e9", 2, 1_500, b"v=0\x00\xff")
+    return {
+        "set up": edge.set_up(ask),
+        "heard": edge.heard(SESSION),
+        "new rung": edge.new_rung(SESSION, 3),
+        **{f"release: {each.value}": edge.release(SESSION, each) for each in endings.Ending},
+    }
+
+
+def edge_frames() -> dict[str, bytes]:
+    """Every kind of message from an edge server."""
+    report = b"outstanding:3;x0:0.5;x1:0.25;odd:1;x0:nan"
+    topics = (b"quality", b"profile", b"nic", b"tor", b"odd")
+    frames = {
+        "answer": (edge.ANSWER, {edge.DESCRIPTION: b"v=0\x00\xff", edge.REPORT: report}),
+        "answer, no report": (edge.ANSWER, {edge.DESCRIPTION: b""}),
+        **{
+            f"release {cause}": (edge.RELEASE, {edge.CAUSE: bytes((cause,)), edge.REPORT: report})
+            for cause in (16, 31, 34, 41, 47, 102)
+        },
+        **{f"note {each.decode()}": (edge.NOTE, {edge.TOPIC: each, edge.FIGURE: b"0.75"}) for each in topics},
+        "progress": (edge.PROGRESS, {}),
+        "heard": (edge.HEARD, {}),
+        "tested": (edge.TESTED, {}),
+    }
+    return {label: edge.encode(kind, SESSION, parameters) for label, (kind, parameters) in frames.items()}
+
+
+def read_edge(raw: str) -> list[Any]:
+    message = edge.decode(bytes.fromhex(raw))
+    return [plain(message), plain(edge.read("edge-1", message))]
+
+
+def read_coordinator(case: dict[str, Any]) -> Any:
+    return plain(coordinator.parse(case["text"].encode(), case["after"]))
+
+
+def read_cmcd(case: dict[str, Any]) -> list[Any]:
+    keys = cmcd.read(case["headers"], case["query"])
+    return [keys, plain(cmcd.hint(SESSION, keys))]
+
+
+def read_cmsd(case: dict[str, Any]) -> list[Any]:
+    headers = case["headers"]
+    static = cmsd.read_static(headers[cmsd.STATIC]) if cmsd.STATIC in headers else None
+    dynamic = cmsd.read_dynamic(headers[cmsd.DYNAMIC]) if cmsd.DYNAMIC in headers else None
+    return [static, plain(dynamic), plain(cmsd.hint("node-1", headers))]
+
+
+def read_node(case: dict[str, Any]) -> Any:
+    if "status" in case:
+        return plain(nodes.answer("node-1", SESSION, case["status"], b"v=0"))
+    return plain(nodes.events("node-1", case["text"].encode()))
+
+
+def simulator_actions() -> dict[str, interface.Action]:
+    """Every action that the simulator is told."""
+    return {
+        "place": interface.Send(SESSION, "h0:1", 250_000),
+        "rung": interface.SetRung(SESSION, 2),
+        "reject": interface.Refuse(SESSION),
+        "reject, stay away": interface.Refuse(SESSION, 90_000, "reason"),
+        "error": interface.Fail(SESSION),
+        "timer": interface.SetTimer(4, 1_000),
+        "follow": interface.Subscribe(),
+        "record": interface.Log("one\n  line"),
+    }
+
+
+def signing_key() -> Ed25519PrivateKey:
+    return Ed25519PrivateKey.from_private_bytes(bytes(range(32)))
+
+
+def entitled_seat() -> seat_model.Seat:
+    return seat_model.Seat(
+        "seat-a", "viewer-a", "tenant-a", "lesson-a", "exam", 1_700_000_000, 1_700_000_060, 1_700_003_600, 2
+    )
+
+
+def signed_token() -> str:
+    return sign(entitled_seat(), "golden", "k1", signing_key())
+
+
+def read_token(token: str) -> seat_model.Seat:
+    keys = {"k1": PublicKey("k1", signing_key().public_key())}
+    return Checker("golden", keys).check(token, 1_700_000_100)
+
+
+def read_cells_file(path: Path) -> Any:
+    """The figures of a file of cells, by position: budgets of tenants and cells, and parts."""
+    plan = cells_model.parse(tomllib.loads(path.read_text(encoding="utf-8")))
+    return plain([plan.tenant, [cell.limits for cell in plan.cells.values()], plan.parts])
+
+
+def read_peers_file(path: Path) -> Any:
+    told = config.read_peers(path)
+    assert told is not None
+    return plain(
+        [told.listen, told.seeds, told.watch, told.standing, told.control, told.offers, told.via, told.gap_us]
+    )
+
+
+def read_tenants_file(path: Path) -> Any:
+    return plain(config.read_tenants(path))
+
+
+def command_apps() -> dict[str, typer.Typer]:
+    return {
+        "lotuspick": cli.app,
+        "lotuspick cells": cells_commands.app,
+        "lotuspick keys": keys_commands.app,
+        "lotuspick members": members_commands.app,
+        "lotuspick seats": seats_commands.app,
+    }
+
+
+# ---- values and files ---------------------------------------------------------------------------------------
+
+
+def plain(value: Any) -> Any:
+    """A value as JSON has it: dataclasses by position and without names, bytes in hex, enumerations by value."""
+    if dataclasses.is_dataclass(value) and not isinstance(value, type):
+        return [plain(getattr(value, each.name)) for each in dataclasses.fields(value)]
+    if isinstance(value, Enum):
+        return value.value
+    if isinstance(value, bytes):
+        return value.hex()
+    if isinstance(value, dict):
+        return {str(key): plain(each) for key, each in value.items()}
+    if isinstance(value, list | tuple):
+        return [plain(each) for each in value]
+    return value
+
+
+def stored(path: Path) -> dict[str, dict[str, str]]:
+    """All that an environment holds: records by table and key, as they lie there."""
+    with lmdb.open(str(path), readonly=True, max_dbs=8) as environment, environment.begin() as reading:
+        tables = [key for key, _ in reading.cursor()]
+        return {
+            table.decode(): {
+                key.decode(): row.hex()
+                for key, row in reading.cursor(environment.open_db(table, reading, create=False))
+            }
+            for table in tables
+        }
+
+
+def golden(name: str) -> Any:
+    """Recorded values."""
+    return json.loads((DATA / name).read_text(encoding="utf-8"))
+
+
+def golden_text(name: str) -> str:
+    return (DATA / name).read_bytes().decode("utf-8")
+
+
+def hexed(frames: dict[str, bytes]) -> dict[str, str]:
+    return {label: raw.hex() for label, raw in frames.items()}
+
+
+def command_words(app: typer.Typer) -> dict[str, Any]:
+    """The words of each command that users type: its name, its arguments in order, its options."""
+    group = typer.main.get_command(app)
+    commands = getattr(group, "commands", {"": group})
+    return {
+        name: {
+            "arguments": [each.name for each in command.params if each.param_type_name == "argument"],
+            "options": sorted(
+                word
+                for each in command.params
+                if each.param_type_name == "option"
+                for word in (*each.opts, *each.secondary_opts)
+            ),
+        }
+        for name, command in sorted(commands.items())
+    }
+
+
+def run_command(app: typer.Typer, *arguments: str) -> str:
+    """What a command prints; it must end well."""
+    done = CliRunner().invoke(app, list(arguments))
+    if done.exit_code:
+        raise AssertionError(f"{arguments}: {done.exit_code}: {done.output}")
+    return done.output
+
+
+class Golden(unittest.TestCase):
+    maxDiff = None
+
+    def folder(self) -> Path:
+        held = tempfile.TemporaryDirectory()
+        self.addCleanup(held.cleanup)
+        return Path(held.name)
+
+    def copied(self, name: str) -> Path:
+        """A recorded store, copied to where it may be written to."""
+        return Path(shutil.copytree(DATA / name, self.folder() / name))
+
+
+class Stores(Golden):
+    def test_seat_store_recorded_is_read_with_every_value(self) -> None:
+        path = self.copied("seats")
+        self.assertEqual(seat_store.read(path), seat_records())
+        store = seat_store.SeatStore(path, 1, sync=False)
+        self.addCleanup(store.close)
+        self.assertEqual(store.load(), seat_records())
+
+    def test_seat_store_recorded_holds_the_listed_records(self) -> None:
+        self.assertEqual(stored(self.copied("seats")), golden("records.json")["seats"])
+
+    def test_seat_store_written_again_has_the_same_records(self) -> None:
+        path = self.folder() / "store"
+        write_seat_store(path)
+        self.assertEqual(stored(path), golden("records.json")["seats"])
+
+    def test_seat_ledger_restored_from_recorded_store_has_the_recorded_changes(self) -> None:
+        ledger = seat_ledger.Ledger()
+        changed = ledger.restore(seat_store.read(self.copied("seats")))
+        self.assertEqual(
+            {each.seat: seat_store.pack(each).hex() for each in changed}, golden("records.json")["restored"]
+        )
+
+    def test_member_store_recorded_is_read_with_every_value(self) -> None:
+        store = StepStore(self.copied("members"), 1, sync=False)
+        self.addCleanup(store.close)
+        expected = {key: text.encode() for key, text in golden("records.json")["member values"].items()}
+        self.assertEqual(store.load(), expected)
+        self.assertEqual(sent(member_conversation(store.load())), golden("conversations.json")["second life"])
+
+    def test_member_store_recorded_holds_the_listed_records(self) -> None:
+        self.assertEqual(stored(self.copied("members")), golden("records.json")["members"])
+
+    def test_member_store_written_again_has_the_same_records(self) -> None:
+        path = self.folder() / "store"
+        write_member_store(path)
+        self.assertEqual(stored(path), golden("records.json")["members"])
+
+
+class BetweenBrokers(Golden):
+    def test_frames_encoded_have_the_recorded_bytes(self) -> None:
+        expected = golden("frames.json")
+        encoded = {label: peers.ENCODE(each) for label, each in (fleet_frames() | fleet_datagrams()).items()}
+        self.assertEqual(hexed(encoded), expected)
+
+    def test_frames_recorded_are_decoded_to_their_messages(self) -> None:
+        expected = golden("frames.json")
+        for label, frame in fleet_frames().items():
+            with self.subTest(label):
+                self.assertEqual(peers.FRAME.decode(bytes.fromhex(expected[label])), frame)
+        for label, datagram in fleet_datagrams().items():
+            with self.subTest(label):
+                self.assertEqual(peers.DATAGRAM.decode(bytes.fromhex(expected[label])), datagram)
+
+    def test_every_kind_of_message_is_recorded(self) -> None:
+        kinds = {type(each) for each in fleet_messages().values()}
+        self.assertEqual(kinds, set(fleet_model.Message.__args__))
+        self.assertEqual({type(each) for each in fleet_news()}, set(fleet_model.News.__args__))
+
+    def test_broker_that_starts_and_joins_sends_the_recorded_messages(self) -> None:
+        self.assertEqual(sent(member_conversation({})), golden("conversations.json")["first life"])
+
+    def test_digest_of_the_same_beliefs_is_the_recorded_number(self) -> None:
+        told = golden("conversations.json")["digest"]
+        self.assertEqual(member_digest_answers(told), [])
+        self.assertEqual(len(member_digest_answers(told + 1)), 1)
+
+
+class Operators(Golden):
+    def test_answers_on_the_control_port_are_the_recorded_lines(self) -> None:
+        self.assertEqual(operators_answers(self.folder()), golden("control.json"))
+
+    def test_members_commands_print_the_recorded_text(self) -> None:
+        answers = golden("control.json")
+        printed = {}
+        for label, arguments in (
+            ("show", ["show"]),
+            ("explain", ["explain", "broker-b"]),
+            ("drain", ["drain", "broker-c"]),
+        ):
+            with mock.patch.object(
+                members_commands, "ask", lambda *_, label=label: json.loads(answers[label])
+            ):
+                printed[label] = run_command(members_commands.app, *arguments, "--control", "127.0.0.1:1")
+        self.assertEqual(printed, golden("members-printed.json"))
+
+    def test_commands_have_the_recorded_words(self) -> None:
+        found = {name: command_words(app) for name, app in command_apps().items()}
+        self.assertEqual(found, golden("commands.json"))
+
+    def test_files_of_operators_are_read_to_the_recorded_values(self) -> None:
+        found = {
+            "cells": read_cells_file(DATA / "cells.toml"),
+            "peers": read_peers_file(DATA / "peers.toml"),
+            "tenants": read_tenants_file(DATA / "tenants.toml"),
+        }
+        self.assertEqual(found, golden("files.json"))
+
+    def test_reasons_of_standings_are_the_recorded_words(self) -> None:
+        self.assertEqual(fleet_reasons(), golden("reasons.json"))
+
+    def test_words_of_enumerations_are_the_recorded_ones(self) -> None:
+        self.assertEqual(words(), golden("words.json"))
+
+
+class Settling(Golden):
+    def test_settled_ledgers_written_are_the_recorded_lines(self) -> None:
+        into = self.folder() / "settled.jsonl"
+        broker = self.copied("seats")
+        printed = run_command(
+            seats_commands.app, "settle", f"b1={broker}", f"b2={broker}", "--into", str(into)
+        )
+        self.assertEqual(into.read_bytes(), (DATA / "settled.jsonl").read_bytes())
+        self.assertEqual(printed, golden_text("settle-printed.txt"))
+
+    def test_settled_ledgers_recorded_are_read_and_written_alike(self) -> None:
+        merged = seats_commands.read_settled(DATA / "settled.jsonl")
+        expected = {(broker, each.seat): each for broker in ("b1", "b2") for each in seat_records()}
+        self.assertEqual(merged, expected)
+        path = self.folder() / "again.jsonl"
+        seats_commands.write_settled(path, merged)
+        self.assertEqual(path.read_bytes(), (DATA / "settled.jsonl").read_bytes())
+
+    def test_seats_show_prints_the_recorded_text(self) -> None:
+        path = self.copied("seats")
+        printed = run_command(seats_commands.app, "show", str(path))
+        for record in seat_records():
+            printed += run_command(seats_commands.app, "show", str(path), record.seat)
+        self.assertEqual(printed, golden_text("show-printed.txt"))
+
+    def test_list_of_revoked_seats_is_read_and_written_alike(self) -> None:
+        self.assertEqual(entitled.read_revoked(DATA / "revoked.jsonl", 0), {"seat-a": 2**40, "seat-b": 2**39})
+        path = self.folder() / "revoked.jsonl"
+        path.write_bytes((DATA / "revoked.jsonl").read_bytes())
+        self.assertEqual(
+            run_command(seats_commands.app, "revoke", "seat-b", "--list", str(path)), "2 seats revoked\n"
+        )
+        self.assertEqual(path.read_bytes(), (DATA / "revoked.jsonl").read_bytes())
+
+    def test_list_of_proofs_is_read_to_its_values(self) -> None:
+        self.assertEqual(entitled.read_proofs(DATA / "proofs.jsonl"), {"s-c": True, "s-x": False})
+
+
+class Tokens(Golden):
+    def test_claims_of_a_seat_are_the_recorded_ones(self) -> None:
+        self.assertEqual(entitled_seat().claims("golden"), golden("token.json")["claims"])
+        self.assertEqual(seat_model.read(golden("token.json")["claims"]), entitled_seat())
+
+    def test_token_signed_again_has_the_recorded_bytes(self) -> None:
+        self.assertEqual(signed_token(), golden("token.json")["token"])
+
+    def test_token_recorded_is_read_to_its_seat(self) -> None:
+        self.assertEqual(read_token(golden("token.json")["token"]), entitled_seat())
+
+    def test_keys_recorded_are_read_and_written_alike(self) -> None:
+        path = self.folder()
+        (path / "keys.json").write_bytes((DATA / "keys.json").read_bytes())
+        folder = key_folder.KeyFolder(path)
+        found = [(each.kid, each.from_s, each.until_s, each.withdrawn) for each in folder.load().values()]
+        self.assertEqual(
+            found, [("k1", 1_700_000_000, 1_700_086_400, False), ("k2", 1_700_000_100, 2**40, True)]
+        )
+        folder.withdraw("k2")
+        self.assertEqual((path / "keys.json").read_bytes(), (DATA / "keys.json").read_bytes())
+
+
+class Viewers(Golden):
+    def test_rtsp_messages_written_have_the_recorded_bytes(self) -> None:
+        found = {label: raw.decode("latin-1") for label, raw in rtsp_messages().items()}
+        self.assertEqual(found, golden("rtsp-written.json"))
+
+    def test_rtsp_messages_read_give_the_recorded_values(self) -> None:
+        for label, case in golden("rtsp-read.json").items():
+            with self.subTest(label):
+                self.assertEqual(read_rtsp(case["text"]), case["values"])
+
+    def test_cmcd_read_gives_the_recorded_values(self) -> None:
+        for label, case in golden("cmcd.json").items():
+            with self.subTest(label):
+                self.assertEqual(read_cmcd(case), case["values"])
+
+
+class Nodes(Golden):
+    def test_edge_messages_written_have_the_recorded_bytes(self) -> None:
+        self.assertEqual(hexed(edge_messages()), golden("edge-written.json"))
+
+    def test_edge_messages_read_give_the_recorded_values(self) -> None:
+        recorded = golden("edge-read.json")
+        self.assertEqual(hexed(edge_frames()), {label: case["bytes"] for label, case in recorded.items()})
+        for label, case in recorded.items():
+            with self.subTest(label):
+                self.assertEqual(read_edge(case["bytes"]), case["values"])
+
+    def test_node_answers_and_events_read_give_the_recorded_values(self) -> None:
+        for label, case in golden("nodes.json").items():
+            with self.subTest(label):
+                self.assertEqual(read_node(case), case["values"])
+
+    def test_cmsd_read_gives_the_recorded_values(self) -> None:
+        for label, case in golden("cmsd.json").items():
+            with self.subTest(label):
+                self.assertEqual(read_cmsd(case), case["values"])
+
+    def test_coordinator_events_read_give_the_recorded_values(self) -> None:
+        for label, case in golden("coordinator.json").items():
+            with self.subTest(label):
+                self.assertEqual(read_coordinator(case), case["values"])
+
+
+class Simulator(Golden):
+    def test_simulator_transcript_is_answered_by_the_recorded_bytes(self) -> None:
+        answered = io.StringIO()
+        adapter.serve(io.StringIO(golden_text("simulator-in.txt")), answered)
+        self.assertEqual(answered.getvalue(), golden_text("simulator-out.txt"))
+
+    def test_simulator_actions_are_written_as_the_recorded_lines(self) -> None:
+        found = {label: adapter.encode(each) for label, each in simulator_actions().items()}
+        self.assertEqual(found, golden("simulator-actions.json"))
