--- a/benchmarks/acceptance.py
+++ b/benchmarks/acceptance.py
@@ -14,13 +14,27 @@
 
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "results" / "acceptance" / "plays.md"
-COLUMNS = ("entry", "play", "site", "day", "seed", "brokers", "commit", "score", "served, and wanted", "MB",
-           "rules broken", "verdict")
+COLUMNS = (
+    "entry",
+    "play",
+    "site",
+    "day",
+    "seed",
+    "brokers",
+    "commit",
+    "score",
+    "served, and wanted",
+    "MB",
+    "rules broken",
+    "verdict",
+)
 
 
 def landed(commit: str) -> bool:
     """Whether a commit is part of main's history: what was played on another is a trial."""
-    done = subprocess.run(["git", "merge-base", "--is-ancestor", commit, "HEAD"], cwd=ROOT, capture_output=True)
+    done = subprocess.run(
+        ["git", "merge-base", "--is-ancestor", commit, "HEAD"], cwd=ROOT, capture_output=True
+    )
     return done.returncode == 0
 
 
@@ -52,13 +66,28 @@
         play = entry["cmd"] + (" quick" if "--quick" in told else "") + panel
         days = entry["days"] or [{}]
         for day in days:
-            rules = ", ".join(f"{name} {count}" for name, count in day.get("rules", {}).items() if count) or "none"
+            rules = (
+                ", ".join(f"{name} {count}" for name, count in day.get("rules", {}).items() if count)
+                or "none"
+            )
             score = "" if day.get("score") is None else f"{day['score']:.2f}"
             least = day.get("served_least")
             served = "" if least is None else f"{day['served']:.3f}, {least:.3f}"
             seen = [day.get(key, "") for key in ("name", "seed", "nodes")]
-            yield line([path.stem, play, entry["site"] or "", *seen, commit, score, served, day.get("memory_mb", ""),
-                        rules if day else "", verdict(entry, day)])
+            yield line(
+                [
+                    path.stem,
+                    play,
+                    entry["site"] or "",
+                    *seen,
+                    commit,
+                    score,
+                    served,
+                    day.get("memory_mb", ""),
+                    rules if day else "",
+                    verdict(entry, day),
+                ]
+            )
 
 
 def main() -> None:
@@ -67,8 +96,9 @@
     parser.add_argument("--write", action="store_true")
     given = parser.parse_args()
     made = f"Made by `python benchmarks/acceptance.py {given.since} --write` from the journal."
-    text = "\n".join(["# Plays", "", made, "",
-                      line(COLUMNS), line(["---"] * len(COLUMNS)), *rows(given.since), ""])
+    text = "\n".join(
+        ["# Plays", "", made, "", line(COLUMNS), line(["---"] * len(COLUMNS)), *rows(given.since), ""]
+    )
     if given.write:
         PAGE.parent.mkdir(parents=True, exist_ok=True)
         PAGE.write_text(text)
--- a/benchmarks/core.py
+++ b/benchmarks/core.py
@@ -25,8 +25,11 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-CASES = [*((nodes, 100, full) for full in (True, False) for nodes in (15, 60, 240, 960)), (15, 800, True),
-         (60, 800, True)]
+CASES = [
+    *((nodes, 100, full) for full in (True, False) for nodes in (15, 60, 240, 960)),
+    (15, 800, True),
+    (60, 800, True),
+]
 FIGURES = ("request", "p50", "p99", "longest")
 TICK_US, SECOND = 10_000, 1_000_000
 WARM_S, MEASURED_S = 12, 6
@@ -55,13 +58,30 @@
 
     asked_kb = rate * 15 * 360.0 * 0.5
     kb = asked_kb / nodes * (1 / 1.7 if full else 4.0)
-    core = Controller(Settings(
-        zone="a", gateways=1,
-        classes=[ClassSettings("clip", 1_500_000), ClassSettings("exam", 800_000, "paid", 2.0, 1.4, 1)],
-        ladder_kb=LADDER, rung_worth=[0.25, 0.5, 0.8, 1.0], places_by_kind={"box": 10_000.0}, positions=nodes,
-        link_kb_per_weight=kb, weights="nominal", tell_us=2 * SECOND, seen_after_us=500_000, max_attempts=3,
-        dial_timeout_us=250_000, retry_after=True, max_retry_after_us=2 * SECOND, reports=True), seed)
-    core.handle(0, [ServerList([ServerEntry(f"s{at}", "a", "box", at) for at in range(nodes)], complete=True)])
+    core = Controller(
+        Settings(
+            zone="a",
+            gateways=1,
+            classes=[ClassSettings("clip", 1_500_000), ClassSettings("exam", 800_000, "paid", 2.0, 1.4, 1)],
+            ladder_kb=LADDER,
+            rung_worth=[0.25, 0.5, 0.8, 1.0],
+            places_by_kind={"box": 10_000.0},
+            positions=nodes,
+            link_kb_per_weight=kb,
+            weights="nominal",
+            tell_us=2 * SECOND,
+            seen_after_us=500_000,
+            max_attempts=3,
+            dial_timeout_us=250_000,
+            retry_after=True,
+            max_retry_after_us=2 * SECOND,
+            reports=True,
+        ),
+        seed,
+    )
+    core.handle(
+        0, [ServerList([ServerEntry(f"s{at}", "a", "box", at) for at in range(nodes)], complete=True)]
+    )
     draw, due, count = random.Random(seed), [], 0
     held: dict[str, int] = {}
     load: dict[str, float] = dict.fromkeys((f"s{at}" for at in range(nodes)), 0.0)
@@ -82,8 +102,11 @@
             owed, count = owed - 1, count + 1
             cls = "exam" if draw.random() < 0.35 else "clip"
             home = draw.randrange(nodes)
-            events.append(SessionRequest(f"q{count}", cls, f"t{home}", home, 3, 3,
-                                         now + (3 if cls == "exam" else 5) * SECOND, 15e6))
+            events.append(
+                SessionRequest(
+                    f"q{count}", cls, f"t{home}", home, 3, 3, now + (3 if cls == "exam" else 5) * SECOND, 15e6
+                )
+            )
         if not events:
             continue
         began = time.process_time()
@@ -93,14 +116,18 @@
             measured += sum(isinstance(event, SessionRequest) for event in events)
         for action in actions:
             if isinstance(action, SetTimer):
-                heapq.heappush(due, (now + max(action.delay_us, 1), len(due) + draw.random(), TimerFired(action.token)))
+                heapq.heappush(
+                    due, (now + max(action.delay_us, 1), len(due) + draw.random(), TimerFired(action.token))
+                )
             elif isinstance(action, Send):
                 name, server = action.session, action.server
                 held[name] = kbs = 250.0
                 load[server] += kbs
                 end = now + 80_000 + int(draw.uniform(10, 20) * SECOND)
                 told: list[tuple[int, Event]] = [(now + 80_000, Started(name, 0, server, 80_000))]
-                told += [(at, Note(name, server, "link", 0.0)) for at in range(now + 300_000, end, 2 * SECOND)]
+                told += [
+                    (at, Note(name, server, "link", 0.0)) for at in range(now + 300_000, end, 2 * SECOND)
+                ]
                 told.append((end, Ended(name, 0, server, "served", True)))
                 for at, event in told:
                     heapq.heappush(due, (at, len(due) + draw.random(), event))
@@ -113,15 +140,24 @@
 def runs(tree: Path, case: tuple[int, int, bool], seed: int) -> list[float]:
     """One case in a process of its own, on the sources of a tree."""
     words = [sys.executable, "-P", __file__, "--one", json.dumps([*case, seed])]
-    done = subprocess.run(words, cwd=tree, env={**os.environ, "PYTHONPATH": str(tree)}, capture_output=True, text=True,
-                          check=True)
+    done = subprocess.run(
+        words,
+        cwd=tree,
+        env={**os.environ, "PYTHONPATH": str(tree)},
+        capture_output=True,
+        text=True,
+        check=True,
+    )
     told: list[float] = json.loads(done.stdout)
     return told
 
 
 def rows(trees: list[Path], seeds: int) -> Iterator[str]:
-    yield "nodes rate full figure  " + " ".join(f"us_{index}" for index in range(len(trees))) \
+    yield (
+        "nodes rate full figure  "
+        + " ".join(f"us_{index}" for index in range(len(trees)))
         + (" ratio of pairs" if trees[1:] else "")
+    )
     for case in CASES:
         found: list[list[list[float]]] = [[] for _ in trees]
         for seed in range(1, seeds + 1):
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -39,7 +39,9 @@
 from lotuspick.lab.seats.trial import SETTINGS, Coordinator, Server, free_port  # noqa: E402
 
 BROKERS, NODES, RATE, STARTED_S = 2, 60, 30.0, 30.0
-ASK = b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: 0000000000000001\r\nContent-Length: 0\r\n\r\n"
+ASK = (
+    b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: 0000000000000001\r\nContent-Length: 0\r\n\r\n"
+)
 FIGURES = ("start_s", "empty_mib", "served_mib", "slope_mib_h")
 SAMPLE_S = 2.0
 
@@ -77,27 +79,72 @@
     found: dict[str, list[float]] = {name: [] for name in FIGURES}
     started: list[subprocess.Popen[bytes]] = []
     with tempfile.TemporaryDirectory() as folder:
-        nodes = subprocess.Popen([sys.executable, "-m", "lotuspick.lab.seats.nodes", str(NODES), str(seed),
-                                  f"{folder}/ran.log", "{}"], cwd=HERE, stdout=subprocess.PIPE)
+        nodes = subprocess.Popen(
+            [
+                sys.executable,
+                "-m",
+                "lotuspick.lab.seats.nodes",
+                str(NODES),
+                str(seed),
+                f"{folder}/ran.log",
+                "{}",
+            ],
+            cwd=HERE,
+            stdout=subprocess.PIPE,
+        )
         assert nodes.stdout is not None
-        servers = [{"id": f"s-{at}", "addr": f"127.0.0.1:{port}", "zone": "a", "kind": "box", "cell": at,
-                    "state": "in_service", "weight": 1, "started_ms": 0}
-                   for at, port in enumerate(json.loads(nodes.stdout.readline()))]
+        servers = [
+            {
+                "id": f"s-{at}",
+                "addr": f"127.0.0.1:{port}",
+                "zone": "a",
+                "kind": "box",
+                "cell": at,
+                "state": "in_service",
+                "weight": 1,
+                "started_ms": 0,
+            }
+            for at, port in enumerate(json.loads(nodes.stdout.readline()))
+        ]
         ports = [free_port() for _ in range(BROKERS)]
         try:
             for at, port in enumerate(ports):
                 config = Path(folder, f"{at}.json")
-                config.write_text(json.dumps({
-                    "name": f"n{at}", "listen": f"127.0.0.1:{port}", "seed": f"{seed * 10 + at:x}",
-                    "coordinator": f"127.0.0.1:{coordinator.server_address[1]}",
-                    "limits": {"cores": 1.0, "memory_mb": 80, "sockets": 1_024},
-                    "settings": {**SETTINGS, "FamilyInfo": {**SETTINGS["FamilyInfo"], "Cells": NODES}},
-                    "known": {"index": 1, "updates": [{"index": 1, "endpoints": {
-                        "version": 1, "full": True, "servers": servers}}]}}), encoding="utf-8")
+                config.write_text(
+                    json.dumps(
+                        {
+                            "name": f"n{at}",
+                            "listen": f"127.0.0.1:{port}",
+                            "seed": f"{seed * 10 + at:x}",
+                            "coordinator": f"127.0.0.1:{coordinator.server_address[1]}",
+                            "limits": {"cores": 1.0, "memory_mb": 80, "sockets": 1_024},
+                            "settings": {
+                                **SETTINGS,
+                                "FamilyInfo": {**SETTINGS["FamilyInfo"], "Cells": NODES},
+                            },
+                            "known": {
+                                "index": 1,
+                                "updates": [
+                                    {
+                                        "index": 1,
+                                        "endpoints": {"version": 1, "full": True, "servers": servers},
+                                    }
+                                ],
+                            },
+                        }
+                    ),
+                    encoding="utf-8",
+                )
                 began_s = time.perf_counter()
-                started.append(subprocess.Popen(
-                    ["/bin/sh", "-c", run], cwd=tree, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
-                    env={"PATH": os.environ["PATH"], "PROXY_CONFIG": str(config)}))
+                started.append(
+                    subprocess.Popen(
+                        ["/bin/sh", "-c", run],
+                        cwd=tree,
+                        stdout=subprocess.DEVNULL,
+                        stderr=subprocess.DEVNULL,
+                        env={"PATH": os.environ["PATH"], "PROXY_CONFIG": str(config)},
+                    )
+                )
                 found["start_s"].append(ready(port, started[-1], began_s))
             found["empty_mib"] = [private_mib(each.pid) for each in started]
             kinds = [Kind("clip", 0.7, 3.0, 8.0), Kind("exam", 0.3, 3.0, 8.0)]
@@ -130,7 +177,7 @@
         if not found:
             raise RuntimeError("nothing was sent")
     sampler.cancel()
-    at_s, *columns = np.array(samples[len(samples) // 3:]).T
+    at_s, *columns = np.array(samples[len(samples) // 3 :]).T
     return [float(np.polyfit(at_s - at_s[0], column, 1)[0]) * 3_600 for column in columns]
 
 
--- a/lotuspick/adapter.py
+++ b/lotuspick/adapter.py
@@ -40,8 +40,14 @@
 TOPICS = {"1": "share", "2": "rung", "3": "link", "4": "rack"}
 COLUMNS = {"outstanding": "streams", "x0": "link", "x1": "rack"}
 OUTCOMES = {
-    "delivered": "served", "app_error": "error", "shed": "full", "expired": "timeout",
-    "dial_failed": "unreachable", "dropped": "lost", "revoked": "cancelled", "unused": "unsent",
+    "delivered": "served",
+    "app_error": "error",
+    "shed": "full",
+    "expired": "timeout",
+    "dial_failed": "unreachable",
+    "dropped": "lost",
+    "revoked": "cancelled",
+    "unused": "unsent",
 }
 
 
@@ -57,11 +63,17 @@
 
 def _session(fields: Fields) -> dict[str, object]:
     return {
-        "session": need(fields, "Tid"), "cls": need(fields, "Cls"), "title": fields.get("Show", ""),
-        "home": whole(fields, "FirstCell", 0), "copies": whole(fields, "Copies", 1),
-        "ceiling": whole(fields, "CeilingRung"), "deadline_us": whole(fields, "DropDeadUs"),
-        "length_us": loose(fields.get("WorkUs")), "tenant": fields.get("Org", ""),
-        "viewer": fields.get("Entity", ""), "moved": flag(fields, "Relocated"),
+        "session": need(fields, "Tid"),
+        "cls": need(fields, "Cls"),
+        "title": fields.get("Show", ""),
+        "home": whole(fields, "FirstCell", 0),
+        "copies": whole(fields, "Copies", 1),
+        "ceiling": whole(fields, "CeilingRung"),
+        "deadline_us": whole(fields, "DropDeadUs"),
+        "length_us": loose(fields.get("WorkUs")),
+        "tenant": fields.get("Org", ""),
+        "viewer": fields.get("Entity", ""),
+        "moved": flag(fields, "Relocated"),
         "returned": flag(fields, "Returned"),
     }
 
@@ -78,8 +90,15 @@
     outcome = need(fields, "Outcome")
     if outcome not in OUTCOMES:
         raise WireError(f"unknown Outcome {outcome!r}")
-    return Ended(need(fields, "Tid"), whole(fields, "Shot"), need(fields, "Host"), OUTCOMES[outcome],
-                 flag(fields, "NoMore"), whole(fields, "TookUs", 0), _report(fields))
+    return Ended(
+        need(fields, "Tid"),
+        whole(fields, "Shot"),
+        need(fields, "Host"),
+        OUTCOMES[outcome],
+        flag(fields, "NoMore"),
+        whole(fields, "TookUs", 0),
+        _report(fields),
+    )
 
 
 def _note(fields: Fields) -> Event | None:
@@ -90,12 +109,16 @@
 
 
 def _started(fields: Fields) -> Event:
-    return Started(need(fields, "Tid"), whole(fields, "Shot"), need(fields, "Host"),
-                   whole(fields, "TookUs", 0))
+    return Started(
+        need(fields, "Tid"), whole(fields, "Shot"), need(fields, "Host"), whole(fields, "TookUs", 0)
+    )
 
 
 DECODERS: dict[str, Callable[[Fields], Event | None]] = {
-    "KNOCK": _request, "PREEXISTING": _playing, "UNDER_WAY": _started, "RESOLVED": _ended,
+    "KNOCK": _request,
+    "PREEXISTING": _playing,
+    "UNDER_WAY": _started,
+    "RESOLVED": _ended,
     "PROGRESS": _note,
     "TIMED_OUT_CLIENT": lambda fields: ViewerGone(need(fields, "Tid")),
     "WAKE": lambda fields: TimerFired(whole(fields, "Handle")),
@@ -106,9 +129,15 @@
 
 def _entry(fields: Fields) -> ServerEntry:
     state = need(fields, "State")
-    return ServerEntry(need(fields, "Host"), fields.get("Az", ""), fields.get("ClassOfHost", ""),
-                       whole(fields, "Position", 0), STATES.get(state, state),
-                       decimal(fields, "Units", 1.0), whole(fields, "SinceUs", 0))
+    return ServerEntry(
+        need(fields, "Host"),
+        fields.get("Az", ""),
+        fields.get("ClassOfHost", ""),
+        whole(fields, "Position", 0),
+        STATES.get(state, state),
+        decimal(fields, "Units", 1.0),
+        whole(fields, "SinceUs", 0),
+    )
 
 
 def encode(action: Action) -> str:
--- a/lotuspick/cells/atlas.py
+++ b/lotuspick/cells/atlas.py
@@ -59,8 +59,10 @@
     def __init__(self, plan: Plan, positions: int, roster: Iterable[ServerEntry] = ()) -> None:
         self.plan, self.positions = plan, positions
         self.entries = {entry.server: entry for entry in roster}
-        self.moves = {tenant: [each for each in plan.moves if each.tenant == tenant]
-                      for tenant in {each.tenant for each in plan.moves}}
+        self.moves = {
+            tenant: [each for each in plan.moves if each.tenant == tenant]
+            for tenant in {each.tenant for each in plan.moves}
+        }
         self._hashed = {cell.name: cell.weight for cell in plan.cells.values()}
         self._open = {cell.name: cell.weight for cell in plan.cells.values() if cell.selector.empty}
         self._homes: dict[tuple[str, str], tuple[str, float]] = {}
@@ -117,8 +119,11 @@
 
     def small(self) -> dict[str, int]:
         """Cells that no lesson of theirs can find large enough, with their usable nodes."""
-        return {name: len(self.nodes[name]) for name, cell in self.plan.cells.items()
-                if len(self.nodes[name]) < cell.holders}
+        return {
+            name: len(self.nodes[name])
+            for name, cell in self.plan.cells.items()
+            if len(self.nodes[name]) < cell.holders
+        }
 
     # ---- tenants ------------------------------------------------------------------------------------------
 
@@ -171,8 +176,11 @@
 
     def holders(self, home: int, copies: int) -> frozenset[str]:
         """Usable nodes on which a title lies."""
-        return frozenset(name for step in range(min(copies, self.positions))
-                         for name in self._at.get((home + step) % self.positions, ()))
+        return frozenset(
+            name
+            for step in range(min(copies, self.positions))
+            for name in self._at.get((home + step) % self.positions, ())
+        )
 
     def room(self, cell: str, tenant: str, home: int, copies: int) -> Room:
         """What the cell offers the tenant for a title that lies on ``copies`` positions from ``home`` on."""
--- a/lotuspick/cells/budgets.py
+++ b/lotuspick/cells/budgets.py
@@ -14,7 +14,9 @@
 
 from lotuspick.cells.model import SECOND, Limits
 
-REMEMBER_US = 30 * SECOND  # a viewer that asks again within so long, and whose session did not end well, returns
+REMEMBER_US = (
+    30 * SECOND
+)  # a viewer that asks again within so long, and whose session did not end well, returns
 HALF = 0.5  # one more fits once its half does: so a steady stream is let in at the rate that is stated
 
 
--- a/lotuspick/cells/exposure.py
+++ b/lotuspick/cells/exposure.py
@@ -38,8 +38,11 @@
     with both of their cells."""
     plan = atlas.plan
     names = {atlas.base(tenant, "")[0], *(move.to for move in atlas.moves.get(tenant, ()))}
-    names |= {rule.cell for rule in plan.rules if rule.cell and fnmatch.fnmatchcase(tenant, rule.tenant)
-              and rule.title != "*"}
+    names |= {
+        rule.cell
+        for rule in plan.rules
+        if rule.cell and fnmatch.fnmatchcase(tenant, rule.tenant) and rule.title != "*"
+    }
     own: frozenset[str] = frozenset()
     further: frozenset[str] = frozenset()
     for name in names:
@@ -61,12 +64,20 @@
     widest = max(reached, key=lambda tenant: (len(reached[tenant][0]), tenant))
     count = len(reached)
     # Over distinct sets instead of pairs of tenants: there are few where cells are not shuffled.
-    overlap = sum(times * (other_times - (own == other)) * len(own & other) / len(own)
-                  for own, times in sets.items() if own for other, other_times in sets.items())
+    overlap = sum(
+        times * (other_times - (own == other)) * len(own & other) / len(own)
+        for own, times in sets.items()
+        if own
+        for other, other_times in sets.items()
+    )
     return Exposure(
-        nodes=sum(entry.state == "active" for entry in atlas.entries.values()), tenants=count,
-        most=len(reached[widest][0]), widest=widest,
+        nodes=sum(entry.state == "active" for entry in atlas.entries.values()),
+        tenants=count,
+        most=len(reached[widest][0]),
+        widest=widest,
         mean=statistics.fmean(len(own) for own, _ in reached.values()),
         mean_at_most=statistics.fmean(len(most) for _, most in reached.values()),
-        together=max(sets.values()), alone=sum(times == 1 for times in sets.values()),
-        overlap=overlap / (count * (count - 1)) if count > 1 else 0.0)
+        together=max(sets.values()),
+        alone=sum(times == 1 for times in sets.values()),
+        overlap=overlap / (count * (count - 1)) if count > 1 else 0.0,
+    )
--- a/lotuspick/cells/guide.py
+++ b/lotuspick/cells/guide.py
@@ -90,14 +90,22 @@
         self.let_in = self.sent_elsewhere = 0
         self.small: dict[str, int] = {}
         self.hears: dict[type, Callable[[Any, int], None]] = {
-            ServerList: self._roster, SessionPlaying: self._playing, Send: self._sent, Started: self._started,
-            Ended: self._ended, Refuse: self._answered, Fail: self._answered, ViewerGone: self._gone,
+            ServerList: self._roster,
+            SessionPlaying: self._playing,
+            Send: self._sent,
+            Started: self._started,
+            Ended: self._ended,
+            Refuse: self._answered,
+            Fail: self._answered,
+            ViewerGone: self._gone,
             Note: self._noted,
         }
 
     def _state(self, cell: Cell) -> State:
         usual = Fading(self.plan.parts.usual_s)
-        return State(Account(cell.name, cell.limits, usual), Fading(ELSEWHERE_S), Fading(ELSEWHERE_S), Fading(TURNED_S))
+        return State(
+            Account(cell.name, cell.limits, usual), Fading(ELSEWHERE_S), Fading(ELSEWHERE_S), Fading(TURNED_S)
+        )
 
     # ---- the question -------------------------------------------------------------------------------------
 
@@ -193,16 +201,30 @@
             contended = full or state.turned.read(now) >= TURNED
             if contended != state.contended:
                 state.contended = contended
-                self.lines.say(now, "cell contended" if contended else "cell at ease", name, cell=name,
-                          load=round(sum(loads) / max(1, len(loads)), 2), refused=round(state.turned.read(now), 1))
+                self.lines.say(
+                    now,
+                    "cell contended" if contended else "cell at ease",
+                    name,
+                    cell=name,
+                    load=round(sum(loads) / max(1, len(loads)), 2),
+                    refused=round(state.turned.read(now), 1),
+                )
         return state.contended
 
     def _turn_away(self, held: Held, account: Account, reason: str, excess: float, now: int) -> Bounds:
         account.denied.add(now)
         self.refused[reason] = self.refused.get(reason, 0) + 1
         gap_us = account.gap_us(excess, point(held.ask.session, str(now)))
-        self.lines.say(now, "turned away", f"{reason} {account.name}", reason=reason, tenant=held.ask.tenant,
-                  cell=held.home, excess=round(excess, 2), gap_ms=gap_us // 1_000)
+        self.lines.say(
+            now,
+            "turned away",
+            f"{reason} {account.name}",
+            reason=reason,
+            tenant=held.ask.tenant,
+            cell=held.home,
+            excess=round(excess, 2),
+            gap_ms=gap_us // 1_000,
+        )
         return Bounds(reason=reason, gap_us=gap_us)
 
     # ---- servers ------------------------------------------------------------------------------------------
@@ -238,15 +260,30 @@
         small = self.atlas.small()
         for name in self.plan.cells:
             if small.get(name) != self.small.get(name):
-                what = "cell large enough" if name not in small else "cell too small" if small[name] else "cell empty"
-                self.lines.say(now, what, name, cell=name, nodes=len(self.atlas.nodes[name]),
-                          holders=self.plan.cells[name].holders, policy=self.plan.cells[name].small)
+                what = (
+                    "cell large enough"
+                    if name not in small
+                    else "cell too small"
+                    if small[name]
+                    else "cell empty"
+                )
+                self.lines.say(
+                    now,
+                    what,
+                    name,
+                    cell=name,
+                    nodes=len(self.atlas.nodes[name]),
+                    holders=self.plan.cells[name].holders,
+                    policy=self.plan.cells[name].small,
+                )
         self.small = small
 
     def _playing(self, ask: SessionPlaying, now: int) -> None:
         if ask.session in self.held:
             return
-        held = self.held[ask.session] = Held(ask, self.accounts.of(ask.tenant, now), "", ask.server, 1, stands=True)
+        held = self.held[ask.session] = Held(
+            ask, self.accounts.of(ask.tenant, now), "", ask.server, 1, stands=True
+        )
         held.home = self.atlas.cell.get(ask.server, "")
         self._count(held, now)
 
@@ -379,8 +416,9 @@
                 held.home = self.atlas.home(ask.tenant, ask.title, ask.viewer, False, now)
                 if not held.stands:
                     self.states[held.home].account.open += 1
-        self.lines.say(now, "plan taken", str(plan.epoch), epoch=plan.epoch, cells=len(plan.cells),
-                  moves=len(plan.moves))
+        self.lines.say(
+            now, "plan taken", str(plan.epoch), epoch=plan.epoch, cells=len(plan.cells), moves=len(plan.moves)
+        )
         self._sizes(now)
         self._look(now)
         self._recount(now)
@@ -396,9 +434,19 @@
             was, self.stages[key] = self.stages.get(key), at
             moved = moved or at in MOVING or was in MOVING
             home = self.atlas.base(move.tenant, "")[0]
-            self.lines.say(now, "move", f"{move.tenant} {move.epoch} {at.value}", tenant=move.tenant, epoch=move.epoch,
-                      stage=at.value, cell=home, to=move.to, share=round(share(move, now), 3),
-                      nodes=len(self.atlas.nodes[move.to]), stand=self._stand(move.tenant))
+            self.lines.say(
+                now,
+                "move",
+                f"{move.tenant} {move.epoch} {at.value}",
+                tenant=move.tenant,
+                epoch=move.epoch,
+                stage=at.value,
+                cell=home,
+                to=move.to,
+                share=round(share(move, now), 3),
+                nodes=len(self.atlas.nodes[move.to]),
+                stand=self._stand(move.tenant),
+            )
         if len(self.stages) > len(self.plan.moves):
             kept = {(move.tenant, move.epoch) for move in self.plan.moves}
             self.stages = {key: at for key, at in self.stages.items() if key in kept}
@@ -417,12 +465,17 @@
     def summary(self) -> News:
         """What happened since the last summary, and what stands."""
         fields: dict[str, str | int | float] = {
-            "epoch": self.plan.epoch, "let_in": self.let_in, "elsewhere": self.sent_elsewhere,
-            "held": len(self.held), "tenants": len(self.accounts.accounts) + len(self.accounts.named_accounts),
+            "epoch": self.plan.epoch,
+            "let_in": self.let_in,
+            "elsewhere": self.sent_elsewhere,
+            "held": len(self.held),
+            "tenants": len(self.accounts.accounts) + len(self.accounts.named_accounts),
             "contended": ",".join(name for name, state in self.states.items() if state.contended) or "none",
             "small": ",".join(self.small) or "none",
         }
-        fields |= {f"refused_{reason.replace('-', '_')}": count for reason, count in sorted(self.refused.items())}
+        fields |= {
+            f"refused_{reason.replace('-', '_')}": count for reason, count in sorted(self.refused.items())
+        }
         self.let_in = self.sent_elsewhere = 0
         self.refused.clear()
         return News("cells", fields)
--- a/lotuspick/cells/model.py
+++ b/lotuspick/cells/model.py
@@ -76,7 +76,8 @@
         if any(fnmatch.fnmatchcase(entry.server, pattern) for pattern in self.nodes):
             return True
         given = [
-            (bool(self.zones), entry.zone in self.zones), (bool(self.kinds), entry.kind in self.kinds),
+            (bool(self.zones), entry.zone in self.zones),
+            (bool(self.kinds), entry.kind in self.kinds),
             (bool(self.positions), entry.position in self.positions),
             (self.networks is not None, self._inside(entry.address)),
         ]
@@ -172,8 +173,20 @@
 
 def parse(told: Mapping[str, Any]) -> Plan:
     """Check a parsed file. Raises :class:`PlanError` naming the key at fault."""
-    known = {"enabled", "epoch", "salt", "default", "nameless", "cells", "assign", "moves", "budgets", "parts",
-             "tenants_kept", "viewers_kept"}
+    known = {
+        "enabled",
+        "epoch",
+        "salt",
+        "default",
+        "nameless",
+        "cells",
+        "assign",
+        "moves",
+        "budgets",
+        "parts",
+        "tenants_kept",
+        "viewers_kept",
+    }
     _known(told, known, "")
     budgets = _table(told, "budgets", "budgets")
     _known(budgets, {"tenant", "cell"}, "budgets")
@@ -197,11 +210,20 @@
     rules = tuple(_rule(body, at, cells) for body, at in _array(told, "assign"))
     moves = _moves(told, cells)
     names = [rule.tenant for rule in rules if not _is_pattern(rule.tenant)] + [move.tenant for move in moves]
-    return Plan(cells, int(_number(told, "epoch", "epoch", 1, 0, whole=True)),
-                _text(told, "salt", "salt", "lotuspick"), default, "" if nameless == HASH else nameless, rules,
-                moves, per_tenant, _plain(Parts, _table(told, "parts", "parts"), "parts", Parts()),
-                int(_number(told, "tenants_kept", "tenants_kept", 4_096, 1, whole=True)),
-                int(_number(told, "viewers_kept", "viewers_kept", 65_536, 1, whole=True)), frozenset(names))
+    return Plan(
+        cells,
+        int(_number(told, "epoch", "epoch", 1, 0, whole=True)),
+        _text(told, "salt", "salt", "lotuspick"),
+        default,
+        "" if nameless == HASH else nameless,
+        rules,
+        moves,
+        per_tenant,
+        _plain(Parts, _table(told, "parts", "parts"), "parts", Parts()),
+        int(_number(told, "tenants_kept", "tenants_kept", 4_096, 1, whole=True)),
+        int(_number(told, "viewers_kept", "viewers_kept", 65_536, 1, whole=True)),
+        frozenset(names),
+    )
 
 
 def _cell(name: str, body: Any, limits: Limits) -> Cell:
@@ -210,8 +232,24 @@
         raise PlanError(f"{at}: a cell's name is 1 to 64 letters, digits, '_', '.' or '-', and not {HASH!r}")
     if not isinstance(body, dict):
         raise PlanError(f"{at} must be a table, not {body!r:.40}")
-    _known(body, {"nodes", "zones", "kinds", "positions", "networks", "weight", "shuffle", "holders", "small",
-                  "spill", "elsewhere", "budget"}, at)
+    _known(
+        body,
+        {
+            "nodes",
+            "zones",
+            "kinds",
+            "positions",
+            "networks",
+            "weight",
+            "shuffle",
+            "holders",
+            "small",
+            "spill",
+            "elsewhere",
+            "budget",
+        },
+        at,
+    )
     small = _text(body, "small", f"{at}.small", "spill" if body.get("spill") else "widen")
     if small not in ("spill", "widen", "refuse"):
         raise PlanError(f"{at}.small must be spill, widen or refuse, not {small!r}")
@@ -220,19 +258,31 @@
         raise PlanError(f"{at}.spill names no cell, though {at}.small is 'spill'")
     return Cell(
         name,
-        Selector(_texts(body, "nodes", at), _texts(body, "zones", at), _texts(body, "kinds", at),
-                 frozenset(_positions(body, at)), _networks(body, at)),
+        Selector(
+            _texts(body, "nodes", at),
+            _texts(body, "zones", at),
+            _texts(body, "kinds", at),
+            frozenset(_positions(body, at)),
+            _networks(body, at),
+        ),
         _number(body, "weight", f"{at}.weight", 1.0, 0.0, above=True),
         int(_number(body, "shuffle", f"{at}.shuffle", 0, 0, whole=True)),
-        int(_number(body, "holders", f"{at}.holders", 3, 1, whole=True)), small, spill,
+        int(_number(body, "holders", f"{at}.holders", 3, 1, whole=True)),
+        small,
+        spill,
         _number(body, "elsewhere", f"{at}.elsewhere", 0.3, 0.0, 1.0),
-        _plain(Limits, _table(body, "budget", f"{at}.budget"), f"{at}.budget", limits))
+        _plain(Limits, _table(body, "budget", f"{at}.budget"), f"{at}.budget", limits),
+    )
 
 
 def _rule(body: Mapping[str, Any], at: str, cells: Mapping[str, Cell]) -> Rule:
     _known(body, {"tenant", "title", "cell", "weight"}, at)
-    rule = Rule(_text(body, "tenant", f"{at}.tenant", "*"), _text(body, "title", f"{at}.title", "*"),
-                _text(body, "cell", f"{at}.cell", ""), _number(body, "weight", f"{at}.weight", 0.0, 0.0))
+    rule = Rule(
+        _text(body, "tenant", f"{at}.tenant", "*"),
+        _text(body, "title", f"{at}.title", "*"),
+        _text(body, "cell", f"{at}.cell", ""),
+        _number(body, "weight", f"{at}.weight", 0.0, 0.0),
+    )
     if not (rule.cell or rule.weight):
         raise PlanError(f"{at}.cell is missing")
     if rule.cell:
@@ -243,7 +293,9 @@
 def _moves(told: Mapping[str, Any], cells: Mapping[str, Cell]) -> tuple[Move, ...]:
     moves: list[Move] = []
     for body, at in _array(told, "moves"):
-        _known(body, {"tenant", "to", "epoch", "start", "prepare_s", "shift_s", "drain_s", "pauses", "back"}, at)
+        _known(
+            body, {"tenant", "to", "epoch", "start", "prepare_s", "shift_s", "drain_s", "pauses", "back"}, at
+        )
         tenant, to = _text(body, "tenant", f"{at}.tenant"), _text(body, "to", f"{at}.to")
         _cell_named(to, cells, f"{at}.to")
         if not tenant or _is_pattern(tenant):
@@ -252,12 +304,16 @@
         if any(each.tenant == tenant and each.epoch >= epoch for each in moves):
             raise PlanError(f"{at}.epoch must be above that of the move of {tenant!r} before it, not {epoch}")
         start = _time(body, "start", at)
-        prepare, shift, drain = (int(_number(body, key, f"{at}.{key}", default, 0.0, FOREVER_S) * SECOND)
-                                 for key, default in (("prepare_s", 30.0), ("shift_s", 120.0), ("drain_s", 600.0)))
+        prepare, shift, drain = (
+            int(_number(body, key, f"{at}.{key}", default, 0.0, FOREVER_S) * SECOND)
+            for key, default in (("prepare_s", 30.0), ("shift_s", 120.0), ("drain_s", 600.0))
+        )
         back = _time(body, "back", at) if "back" in body else 0
         if back and back < start:
             raise PlanError(f"{at}.back lies before the start of the move")
-        moves.append(Move(tenant, to, epoch, start, prepare, shift, drain, tuple(_pauses(body, at, start)), back))
+        moves.append(
+            Move(tenant, to, epoch, start, prepare, shift, drain, tuple(_pauses(body, at, start)), back)
+        )
     return tuple(moves)
 
 
@@ -312,7 +368,9 @@
     for name, value in values.items():
         whole = isinstance(value, int)
         above = name in ("window_s", "usual_s", "slack", "open")
-        found = _number(body, name, f"{at}.{name}", value, 0.0, 1.0 if name == "jitter" else math.inf, above, whole)
+        found = _number(
+            body, name, f"{at}.{name}", value, 0.0, 1.0 if name == "jitter" else math.inf, above, whole
+        )
         values[name] = int(found) if whole else found
     return kind(**values)
 
@@ -370,8 +428,16 @@
     return value
 
 
-def _number(told: Mapping[str, Any], key: str, at: str, default: float | None, least: float,
-            most: float = math.inf, above: bool = False, whole: bool = False) -> float:
+def _number(
+    told: Mapping[str, Any],
+    key: str,
+    at: str,
+    default: float | None,
+    least: float,
+    most: float = math.inf,
+    above: bool = False,
+    whole: bool = False,
+) -> float:
     value = told.get(key, default)
     if value is None:
         raise PlanError(f"{at} is missing")
--- a/lotuspick/entitlement/guide.py
+++ b/lotuspick/entitlement/guide.py
@@ -35,7 +35,9 @@
 SECOND = 1_000_000
 GAP_S = 1.0  # between tries at a seat whose fate is not known, or that cannot be written
 KEEP_S = 30 * 86_400  # counted seats stay so long after their last token's end, to be settled
-WAIT_US = 500_000  # for the disk, and for proof: also where set-ups take so long that nobody would be held at all
+WAIT_US = (
+    500_000  # for the disk, and for proof: also where set-ups take so long that nobody would be held at all
+)
 LOOK = 2_000  # seats looked at in a sweep, whether they can be dropped
 MISSING, IN_DOUBT, DISK = "token-missing", "seat-in-doubt", "seat-store"
 REASONS = {Verdict.IN_USE: "seat-in-use", Verdict.SPENT: "token-spent", Verdict.LAPSED: "token-lapsed"}
@@ -92,8 +94,9 @@
 
     wait_us = WAIT_US
 
-    def __init__(self, rules: Rules, checker: Checker, ledger: Ledger, journal: Journal,
-                 wall: Callable[[], float]) -> None:
+    def __init__(
+        self, rules: Rules, checker: Checker, ledger: Ledger, journal: Journal, wall: Callable[[], float]
+    ) -> None:
         self.rules, self.checker, self.ledger, self.journal, self.wall = rules, checker, ledger, journal, wall
         self.held: dict[str, Held] = {}
         self.revoked: Mapping[str, int] = {}
@@ -103,8 +106,14 @@
         self.counts: Counter[str] = Counter()  # since the last summary
         self.unwritten: dict[str, Record] = {}  # by seat: the write failed, and is tried again
         self.hears: dict[type, Callable[[Any, int], None]] = {
-            SessionPlaying: self._playing, Send: self._sent, Started: self._started, Ended: self._ended,
-            Refuse: self._answered, Fail: self._answered, ViewerGone: self._gone, Proof: self._proof,
+            SessionPlaying: self._playing,
+            Send: self._sent,
+            Started: self._started,
+            Ended: self._ended,
+            Refuse: self._answered,
+            Fail: self._answered,
+            ViewerGone: self._gone,
+            Proof: self._proof,
         }
 
     # ---- the question -------------------------------------------------------------------------------------
@@ -132,8 +141,12 @@
         seat = self.checker.check(token, self.wall(), grace_s)
         if seat.seat in self.revoked:
             raise TokenFault(Fault.REVOKED)
-        for name, told, asked in (("sub", seat.viewer, request.viewer), ("les", seat.lesson, request.title),
-                                  ("cls", seat.cls, request.cls), ("ten", seat.tenant, request.tenant or seat.tenant)):
+        for name, told, asked in (
+            ("sub", seat.viewer, request.viewer),
+            ("les", seat.lesson, request.title),
+            ("cls", seat.cls, request.cls),
+            ("ten", seat.tenant, request.tenant or seat.tenant),
+        ):
             if told != asked:
                 raise TokenFault(Fault.OTHER, name)
         return seat
@@ -141,8 +154,15 @@
     def _reserve(self, now: int, held: Held) -> Bounds:
         ask, seat = held.ask, held.seat
         before = self.ledger.records.get(seat.seat)
-        verdict, record = self.ledger.reserve(self.wall(), seat.seat, ask.session, seat.viewer, seat.epoch, seat.ends_s,
-                                              ask.returned or ask.moved)
+        verdict, record = self.ledger.reserve(
+            self.wall(),
+            seat.seat,
+            ask.session,
+            seat.viewer,
+            seat.epoch,
+            seat.ends_s,
+            ask.returned or ask.moved,
+        )
         if verdict in REASONS:
             return self._turn_away(now, ask, REASONS[verdict], seat.seat)
         if verdict is Verdict.WAIT:
@@ -160,7 +180,9 @@
         held.lasts, held.fault = not fault, fault
 
     def _turn_away(self, now: int, ask: SessionRequest, reason: str, detail: str) -> Bounds:
-        self.lines.say(now, "turned away", reason, reason=reason, session=ask.session, tenant=ask.tenant, detail=detail)
+        self.lines.say(
+            now, "turned away", reason, reason=reason, session=ask.session, tenant=ask.tenant, detail=detail
+        )
         return Bounds(reason=reason, gap_us=int(self.rules.gap_s * SECOND))
 
     # ---- what became of it --------------------------------------------------------------------------------
@@ -188,7 +210,9 @@
             seat = self._check(ask, ask.token)
         except TokenFault:
             return  # it plays, and was paid for elsewhere: it is not cut for that
-        record = self.ledger.handed_over(self.wall(), seat.seat, ask.session, seat.viewer, seat.epoch, seat.ends_s)
+        record = self.ledger.handed_over(
+            self.wall(), seat.seat, ask.session, seat.viewer, seat.epoch, seat.ends_s
+        )
         if record is not None:
             held = self.held[ask.session] = Held(ask, seat, True, True, attempts=1, stands=True)
             self._lease(held, now)
@@ -352,8 +376,11 @@
     def summary(self) -> News:
         """What happened since the last summary, and what stands."""
         fields: dict[str, str | int | float] = {
-            "seats": len(self.ledger.records), "held": len(self.held), "in_doubt": self.ledger.in_doubt,
-            "unwritten": len(self.unwritten)}
+            "seats": len(self.ledger.records),
+            "held": len(self.held),
+            "in_doubt": self.ledger.in_doubt,
+            "unwritten": len(self.unwritten),
+        }
         fields |= {key.replace("-", "_"): count for key, count in sorted(self.counts.items())}
         self.counts.clear()
         return News("seats", fields)
--- a/lotuspick/entitlement/ledger.py
+++ b/lotuspick/entitlement/ledger.py
@@ -98,8 +98,9 @@
             self._keep(record)
         return changed
 
-    def reserve(self, now_s: float, seat: str, session: str, viewer: str, epoch: int, ends_s: int,
-                again: bool = False) -> tuple[Verdict, Record | None]:
+    def reserve(
+        self, now_s: float, seat: str, session: str, viewer: str, epoch: int, ends_s: int, again: bool = False
+    ) -> tuple[Verdict, Record | None]:
         """A set-up asks for its seat. Only a ``GRANTED`` one may be sent, once its record is written. ``again``: its
         viewer says that it comes again, so that whatever still plays for it plays to nobody."""
         held = self.records.get(seat, Record(seat))
@@ -108,7 +109,11 @@
         if held.viewer not in ("", viewer) and held.state is not State.FREE:
             return Verdict.SPENT, None
         unsure = held.state is State.DOUBT and not held.counted
-        if held.state is State.RESERVED or unsure and (epoch <= held.epoch or len(held.doubted) >= MOST_DOUBTED):
+        if (
+            held.state is State.RESERVED
+            or unsure
+            and (epoch <= held.epoch or len(held.doubted) >= MOST_DOUBTED)
+        ):
             return Verdict.WAIT, None
         if held.state is State.COUNTED and not again:
             return Verdict.IN_USE, None
@@ -117,17 +122,39 @@
         last_s = max(ends_s, held.ends_s if held.viewer == viewer else 0)
         if last_s + self.skew_s <= now_s:
             return Verdict.LAPSED, None
-        return Verdict.GRANTED, self._keep(replace(
-            held, state=State.RESERVED, session=session, viewer=viewer, epoch=max(epoch, held.epoch), ends_s=last_s,
-            changes=held.changes + 1, doubted=(*held.doubted, held.session) if unsure else held.doubted))
+        return Verdict.GRANTED, self._keep(
+            replace(
+                held,
+                state=State.RESERVED,
+                session=session,
+                viewer=viewer,
+                epoch=max(epoch, held.epoch),
+                ends_s=last_s,
+                changes=held.changes + 1,
+                doubted=(*held.doubted, held.session) if unsure else held.doubted,
+            )
+        )
 
-    def handed_over(self, now_s: float, seat: str, session: str, viewer: str, epoch: int, ends_s: int) -> Record | None:
+    def handed_over(
+        self, now_s: float, seat: str, session: str, viewer: str, epoch: int, ends_s: int
+    ) -> Record | None:
         """A session that plays already, set up by another broker: it holds its seat here from now on."""
         held = self.records.get(seat, Record(seat))
         if held.state in (State.RESERVED, State.DOUBT, State.COUNTED):
             return None
-        return self._keep(Record(seat, State.COUNTED, session, viewer, max(epoch, held.epoch), max(ends_s, held.ends_s),
-                                 held.changes + 1, True, held.from_s or int(now_s)))
+        return self._keep(
+            Record(
+                seat,
+                State.COUNTED,
+                session,
+                viewer,
+                max(epoch, held.epoch),
+                max(ends_s, held.ends_s),
+                held.changes + 1,
+                True,
+                held.from_s or int(now_s),
+            )
+        )
 
     def ran(self, now_s: float, session: str) -> Record | None:
         """Proof that the set-up ran: the seat is counted."""
@@ -135,8 +162,17 @@
         held = before or self._of(session, State.RESERVED, State.DOUBT)
         if held is None:
             return None
-        return self._keep(replace(held, state=held.state if before else State.COUNTED, changes=held.changes + 1,
-                                  counted=True, from_s=held.from_s or int(now_s), until_s=0, doubted=()))
+        return self._keep(
+            replace(
+                held,
+                state=held.state if before else State.COUNTED,
+                changes=held.changes + 1,
+                counted=True,
+                from_s=held.from_s or int(now_s),
+                until_s=0,
+                doubted=(),
+            )
+        )
 
     def never_ran(self, session: str) -> Record | None:
         """Proof that it did not: the seat is as it was before, free, in doubt, or counted and vacant."""
@@ -146,10 +182,18 @@
             return self._keep(replace(held, changes=held.changes + 1, doubted=rest))
         held = self._of(session, State.RESERVED, State.DOUBT)
         if held is not None and held.doubted:
-            return self._keep(replace(held, state=State.DOUBT, session=held.doubted[-1], doubted=held.doubted[:-1],
-                                      changes=held.changes + 1))
-        return held and self._keep(replace(held, state=State.VACANT if held.counted else State.FREE,
-                                           changes=held.changes + 1))
+            return self._keep(
+                replace(
+                    held,
+                    state=State.DOUBT,
+                    session=held.doubted[-1],
+                    doubted=held.doubted[:-1],
+                    changes=held.changes + 1,
+                )
+            )
+        return held and self._keep(
+            replace(held, state=State.VACANT if held.counted else State.FREE, changes=held.changes + 1)
+        )
 
     def unknown(self, session: str) -> Record | None:
         """Its fate is unknown: the seat waits for proof."""
@@ -159,10 +203,18 @@
     def over(self, now_s: float, session: str, vacant: bool = False) -> Record | None:
         """The session that held the seat has ended; ``vacant``: by no wish of its viewer."""
         held = self._of(session, State.COUNTED)
-        return held and self._keep(replace(held, state=State.VACANT if vacant else State.RELEASED,
-                                           changes=held.changes + 1, until_s=int(now_s)))
+        return held and self._keep(
+            replace(
+                held,
+                state=State.VACANT if vacant else State.RELEASED,
+                changes=held.changes + 1,
+                until_s=int(now_s),
+            )
+        )
 
-    def renew(self, now_s: float, seat: str, viewer: str, epoch: int, ends_s: int) -> tuple[bool, Record | None]:
+    def renew(
+        self, now_s: float, seat: str, viewer: str, epoch: int, ends_s: int
+    ) -> tuple[bool, Record | None]:
         """A newer token of a seat that is in use. Counts nothing; the same or an older epoch changes nothing. One
         that comes after the end is honoured within the grace. Returns whether the seat is good from now on."""
         held, late_s = self.records.get(seat), self.grace_s + self.skew_s
@@ -172,7 +224,9 @@
             return held.ends_s + late_s > now_s, None
         if held.ends_s + late_s <= now_s or ends_s + self.skew_s <= now_s:
             return False, None
-        return True, self._keep(replace(held, epoch=epoch, ends_s=max(ends_s, held.ends_s), changes=held.changes + 1))
+        return True, self._keep(
+            replace(held, epoch=epoch, ends_s=max(ends_s, held.ends_s), changes=held.changes + 1)
+        )
 
     def forget(self, now_s: float, keep_s: float, most: int) -> list[str]:
         """Seats that no good token can name any more, and that nothing is open about: dropped here, and to be dropped
--- a/lotuspick/entitlement/merge.py
+++ b/lotuspick/entitlement/merge.py
@@ -40,8 +40,17 @@
 
 
 def _rank(record: Record) -> tuple[Any, ...]:
-    return (record.changes, record.state, record.counted, record.epoch, record.ends_s, record.from_s, record.until_s,
-            record.session, record.doubted)
+    return (
+        record.changes,
+        record.state,
+        record.counted,
+        record.epoch,
+        record.ends_s,
+        record.from_s,
+        record.until_s,
+        record.session,
+        record.doubted,
+    )
 
 
 def prove(merged: Ledgers, ran: Mapping[str, bool]) -> dict[tuple[str, str], Record]:
--- a/lotuspick/entitlement/model.py
+++ b/lotuspick/entitlement/model.py
@@ -56,8 +56,18 @@
 
     def claims(self, audience: str) -> dict[str, Any]:
         """As claims of a JWT: registered names where RFC 7519 has them."""
-        return {"jti": self.seat, "sub": self.viewer, "ten": self.tenant, "les": self.lesson, "cls": self.cls,
-                "aud": audience, "iat": self.issued_s, "nbf": self.starts_s, "exp": self.ends_s, "ren": self.epoch}
+        return {
+            "jti": self.seat,
+            "sub": self.viewer,
+            "ten": self.tenant,
+            "les": self.lesson,
+            "cls": self.cls,
+            "aud": audience,
+            "iat": self.issued_s,
+            "nbf": self.starts_s,
+            "exp": self.ends_s,
+            "ren": self.epoch,
+        }
 
 
 def read(claims: Mapping[str, Any]) -> Seat:
@@ -72,13 +82,19 @@
 def _name(claims: Mapping[str, Any], key: str) -> str:
     value = claims.get(key)
     if not isinstance(value, str) or not NAME.fullmatch(value):
-        raise TokenFault(Fault.CLAIM, f"{key} is missing" if value is None else
-                         f"{key} must be 1 to {MOST_NAME} printable characters without spaces")
+        raise TokenFault(
+            Fault.CLAIM,
+            f"{key} is missing"
+            if value is None
+            else f"{key} must be 1 to {MOST_NAME} printable characters without spaces",
+        )
     return value
 
 
 def _whole(claims: Mapping[str, Any], key: str) -> int:
     value = claims.get(key)
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value < LATEST:
-        raise TokenFault(Fault.CLAIM, f"{key} is missing" if value is None else f"{key} must be a whole number")
+        raise TokenFault(
+            Fault.CLAIM, f"{key} is missing" if value is None else f"{key} must be a whole number"
+        )
     return value
--- a/lotuspick/interface.py
+++ b/lotuspick/interface.py
@@ -60,8 +60,14 @@
     def __post_init__(self) -> None:
         owner = f"class {self.name}"
         _positive(owner, aim_us=self.aim_us, scale=self.scale)
-        _from_zero(owner, worth=self.worth, floor=self.floor, top=self.top, seats=self.seats,
-                   group_window_us=self.group_window_us)
+        _from_zero(
+            owner,
+            worth=self.worth,
+            floor=self.floor,
+            top=self.top,
+            seats=self.seats,
+            group_window_us=self.group_window_us,
+        )
         if self.effect not in ("safe", "paid", "keyed"):
             raise ValueError(f"{owner}.effect must be safe, paid or keyed, not {self.effect!r}")
         if self.group not in ("all", "zone", "position"):
@@ -150,17 +156,38 @@
     def __post_init__(self) -> None:
         if not self.zone:
             raise ValueError("settings.zone is missing")
-        _positive("settings", gateways=self.gateways, positions=self.positions, racks=self.racks,
-                  link_kb_per_weight=self.link_kb_per_weight, max_attempts=self.max_attempts,
-                  cold_from=self.cold_from, fall_multiple=self.fall_multiple, fall_us=self.fall_us)
-        _from_zero("settings", links_kb=self.links_kb, uplink_kb=self.uplink_kb, join=self.join,
-                   refuses_from=self.refuses_from, seen_after_us=self.seen_after_us, tell_us=self.tell_us,
-                   change_cost_s=self.change_cost_s, shortfall_cost=self.shortfall_cost,
-                   dial_timeout_us=self.dial_timeout_us, drain_grace_us=self.drain_grace_us,
-                   cold_us=self.cold_us, budget_window_us=self.budget_window_us,
-                   ask_within_us=self.ask_within_us, max_retry_after_us=self.max_retry_after_us,
-                   cross_zone_price=self.cross_zone_price, move_price=self.move_price,
-                   probe_price=self.probe_price, over_share_worth=self.over_share_worth)
+        _positive(
+            "settings",
+            gateways=self.gateways,
+            positions=self.positions,
+            racks=self.racks,
+            link_kb_per_weight=self.link_kb_per_weight,
+            max_attempts=self.max_attempts,
+            cold_from=self.cold_from,
+            fall_multiple=self.fall_multiple,
+            fall_us=self.fall_us,
+        )
+        _from_zero(
+            "settings",
+            links_kb=self.links_kb,
+            uplink_kb=self.uplink_kb,
+            join=self.join,
+            refuses_from=self.refuses_from,
+            seen_after_us=self.seen_after_us,
+            tell_us=self.tell_us,
+            change_cost_s=self.change_cost_s,
+            shortfall_cost=self.shortfall_cost,
+            dial_timeout_us=self.dial_timeout_us,
+            drain_grace_us=self.drain_grace_us,
+            cold_us=self.cold_us,
+            budget_window_us=self.budget_window_us,
+            ask_within_us=self.ask_within_us,
+            max_retry_after_us=self.max_retry_after_us,
+            cross_zone_price=self.cross_zone_price,
+            move_price=self.move_price,
+            probe_price=self.probe_price,
+            over_share_worth=self.over_share_worth,
+        )
         for name in ("classes", "ladder_kb", "rung_worth", "places_by_kind"):
             if not getattr(self, name):
                 raise ValueError(f"settings.{name} is missing")
@@ -314,8 +341,9 @@
     """What it measured, kB a second."""
 
     def __post_init__(self) -> None:
-        _from_zero(f"hint on {self.session}", buffer_s=self.buffer_s or 0.0,
-                   throughput_kb=self.throughput_kb or 0.0)
+        _from_zero(
+            f"hint on {self.session}", buffer_s=self.buffer_s or 0.0, throughput_kb=self.throughput_kb or 0.0
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -368,8 +396,21 @@
     token: int
 
 
-Event = (ServerList | SessionRequest | Started | Ended | Note | PlayerHint | ServerHint | TenantRates
-         | ServerDown | ViewerGone | Proof | GuideNews | TimerFired)
+Event = (
+    ServerList
+    | SessionRequest
+    | Started
+    | Ended
+    | Note
+    | PlayerHint
+    | ServerHint
+    | TenantRates
+    | ServerDown
+    | ViewerGone
+    | Proof
+    | GuideNews
+    | TimerFired
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -465,16 +506,29 @@
     def meet(self, other: Bounds) -> Bounds:
         """What both leave open. Commutative, associative and idempotent; the longer gap wins, with its reason, and
         to be turned away wins over waiting."""
-        servers = self.servers if other.servers is None else \
-            other.servers if self.servers is None else self.servers & other.servers
+        servers = (
+            self.servers
+            if other.servers is None
+            else other.servers
+            if self.servers is None
+            else self.servers & other.servers
+        )
         costs = self.costs or other.costs
         if self.costs and other.costs:
-            costs = {name: max(self.costs.get(name, 0.0), other.costs.get(name, 0.0))
-                     for name in {*self.costs, *other.costs}}
+            costs = {
+                name: max(self.costs.get(name, 0.0), other.costs.get(name, 0.0))
+                for name in {*self.costs, *other.costs}
+            }
         away = max(self, other, key=lambda each: (bool(each.reason), each.gap_us, each.reason))
         not_yet = max(self.not_yet, other.not_yet)
-        return Bounds(servers, min(self.top, other.top), costs, away.reason,
-                      away.gap_us if away.reason or not_yet else 0, not_yet)
+        return Bounds(
+            servers,
+            min(self.top, other.top),
+            costs,
+            away.reason,
+            away.gap_us if away.reason or not_yet else 0,
+            not_yet,
+        )
 
 
 ANY = Bounds()
--- a/lotuspick/lab/cli.py
+++ b/lotuspick/lab/cli.py
@@ -10,8 +10,12 @@
 
 from lotuspick.lab.experiment import model, run
 
-app = typer.Typer(help="Experiments on the project's own model of the world.", no_args_is_help=True,
-                  add_completion=False, pretty_exceptions_enable=False)
+app = typer.Typer(
+    help="Experiments on the project's own model of the world.",
+    no_args_is_help=True,
+    add_completion=False,
+    pretty_exceptions_enable=False,
+)
 Seeds = Annotated[str, typer.Option(help="Other seeds, as FIRST-LAST.")]
 Folder = Annotated[Path, typer.Option("--dir", help="Where the experiments lie.")]
 Processes = Annotated[int, typer.Option(help="How many run at once.", min=1)]
@@ -49,8 +53,13 @@
 
 
 @app.command("run")
-def run_full(name: str, seeds: Seeds = "", folder: Folder = model.FOLDER, processes: Processes = 8,
-             results: Annotated[Path, typer.Option(help="Where table and chart go.")] = run.RESULTS) -> None:
+def run_full(
+    name: str,
+    seeds: Seeds = "",
+    folder: Folder = model.FOLDER,
+    processes: Processes = 8,
+    results: Annotated[Path, typer.Option(help="Where table and chart go.")] = run.RESULTS,
+) -> None:
     """Play the full form and keep its table and chart."""
     experiment = _load(name, folder)
     experiment = replace(experiment, world={**experiment.world, **experiment.world_full})
@@ -59,8 +68,16 @@
     holds = _show(experiment, chosen, rows)
     figures = run.weigh(experiment, rows)
     command = f"python -m lotuspick lab run {name}" + (f" --seeds {seeds}" if seeds else "")
-    there = run.write(experiment, chosen, rows, samples, figures, run.verdict(experiment, figures, chosen)[1], command,
-                      results)
+    there = run.write(
+        experiment,
+        chosen,
+        rows,
+        samples,
+        figures,
+        run.verdict(experiment, figures, chosen)[1],
+        command,
+        results,
+    )
     typer.echo(f"kept in {there}")
     raise typer.Exit(0 if holds else 1)
 
@@ -69,8 +86,10 @@
     figures = run.weigh(experiment, rows)
     for figure in figures:
         span = "total" if figure.measure.total else f"95% interval {figure.low:.2f} to {figure.high:.2f}"
-        typer.echo(f"{figure.measure.name:34} {figure.mean:9.2f}  {span}  {figure.bound}"
-                   f"{'' if figure.holds else '  MISSED'}")
+        typer.echo(
+            f"{figure.measure.name:34} {figure.mean:9.2f}  {span}  {figure.bound}"
+            f"{'' if figure.holds else '  MISSED'}"
+        )
     holds, line = run.verdict(experiment, figures, seeds)
     typer.echo(line)
     return holds
--- a/lotuspick/lab/emulator/spec.py
+++ b/lotuspick/lab/emulator/spec.py
@@ -89,21 +89,44 @@
     @property
     def rate(self) -> float:
         """First tries a second, all tenants together."""
-        mean_s = sum(part * sum(LENGTHS[name]) / 2 * scale for name, part, scale in
-                     (("repaso", 1 - PAID_PART, 0.7), ("asistencia", PAID_PART, 1.4)))
+        mean_s = sum(
+            part * sum(LENGTHS[name]) / 2 * scale
+            for name, part, scale in (("repaso", 1 - PAID_PART, 0.7), ("asistencia", PAID_PART, 1.4))
+        )
         return self.load * self.nodes * self.sessions_per_link / mean_s
 
     def settings(self, zone: str) -> Settings:
         """What each broker is told."""
         return Settings(
-            zone=zone, gateways=self.brokers, ladder_kb=LADDER, rung_worth=RUNG_WORTH,
-            classes=[ClassSettings("repaso", 1_500_000, worth=1.0, scale=0.7),
-                     ClassSettings("asistencia", 800_000, effect="paid", worth=2.0, scale=1.4, floor=1)],
-            places_by_kind={"nodo-2c": self.sessions_per_link * 2.6}, positions=self.nodes, racks=self.racks,
-            link_kb_per_weight=self.sessions_per_link * MIDDLE_KB, weights="nominal",
+            zone=zone,
+            gateways=self.brokers,
+            ladder_kb=LADDER,
+            rung_worth=RUNG_WORTH,
+            classes=[
+                ClassSettings("repaso", 1_500_000, worth=1.0, scale=0.7),
+                ClassSettings("asistencia", 800_000, effect="paid", worth=2.0, scale=1.4, floor=1),
+            ],
+            places_by_kind={"nodo-2c": self.sessions_per_link * 2.6},
+            positions=self.nodes,
+            racks=self.racks,
+            link_kb_per_weight=self.sessions_per_link * MIDDLE_KB,
+            weights="nominal",
             uplink_kb=self.nodes / self.racks * self.sessions_per_link * MIDDLE_KB,
             links_kb=self.nodes * self.sessions_per_link * MIDDLE_KB,
-            seen_after_us=700_000, tell_us=3 * SECOND, change_cost_s=0.6, shortfall_cost=8.0, max_attempts=4,
-            dial_timeout_us=250_000, drain_grace_us=2 * SECOND, cold_from=0.3, cold_us=8 * SECOND,
-            fall_multiple=2.5, fall_us=3 * SECOND, retry_after=True, max_retry_after_us=30 * SECOND,
-            reports=True, cross_zone_price=0.057, move_price=0.094)
+            seen_after_us=700_000,
+            tell_us=3 * SECOND,
+            change_cost_s=0.6,
+            shortfall_cost=8.0,
+            max_attempts=4,
+            dial_timeout_us=250_000,
+            drain_grace_us=2 * SECOND,
+            cold_from=0.3,
+            cold_us=8 * SECOND,
+            fall_multiple=2.5,
+            fall_us=3 * SECOND,
+            retry_after=True,
+            max_retry_after_us=30 * SECOND,
+            reports=True,
+            cross_zone_price=0.057,
+            move_price=0.094,
+        )
--- a/lotuspick/lab/emulator/world.py
+++ b/lotuspick/lab/emulator/world.py
@@ -94,8 +94,16 @@
         self.life = 0
 
     def entry(self) -> ServerEntry:
-        return ServerEntry(self.name, self.zone, "nodo-2c", self.index, self.state, 1.0, self.started_us,
-                           f"10.{self.index % 8}.0.{self.index}:9000")
+        return ServerEntry(
+            self.name,
+            self.zone,
+            "nodo-2c",
+            self.index,
+            self.state,
+            1.0,
+            self.started_us,
+            f"10.{self.index % 8}.0.{self.index}:9000",
+        )
 
     @property
     def asked_kb(self) -> float:
@@ -108,12 +116,18 @@
 
     def set_up(self, broker: Broker, life: int, ask: SetUp, viewer: Try) -> None:
         if not self.up:
-            self.world.later(HOP_US, lambda: broker.hear(life, AttemptOver(self.name, ask.session,
-                                                                           Ending.DIAL_REFUSED)))
+            self.world.later(
+                HOP_US, lambda: broker.hear(life, AttemptOver(self.name, ask.session, Ending.DIAL_REFUSED))
+            )
             return
         if len(self.streams) + len(self.coming) >= self.places:
-            self.world.later(HOP_US, lambda: broker.hear(life, EdgeReleased(
-                self.name, ask.session, Ending.TURNED_AWAY, Ending.CUT, {"link": self.load})))
+            self.world.later(
+                HOP_US,
+                lambda: broker.hear(
+                    life,
+                    EdgeReleased(self.name, ask.session, Ending.TURNED_AWAY, Ending.CUT, {"link": self.load}),
+                ),
+            )
             return
         now = self.world.now
         self.coming[ask.session] = (broker, life)
@@ -136,8 +150,11 @@
     def finish(self, session: str) -> None:
         stream = self.streams.pop(session, None)
         if stream is not None:
-            stream.broker.hear(stream.life, EdgeReleased(self.name, session, Ending.FINISHED, Ending.FINISHED,
-                                                         {"link": self.load}), HOP_US)
+            stream.broker.hear(
+                stream.life,
+                EdgeReleased(self.name, session, Ending.FINISHED, Ending.FINISHED, {"link": self.load}),
+                HOP_US,
+            )
 
     def drop(self, session: str) -> None:
         self.streams.pop(session, None)
@@ -145,7 +162,9 @@
     def die(self) -> None:
         """The process is gone; its brokers see their connections reset and dials refused."""
         self.up, self.life = False, self.life + 1
-        brokers = {(stream.broker, stream.life) for stream in self.streams.values()} | set(self.coming.values())
+        brokers = {(stream.broker, stream.life) for stream in self.streams.values()} | set(
+            self.coming.values()
+        )
         for session, (broker, life) in self.coming.items():
             broker.hear(life, AttemptOver(self.name, session, Ending.RESET), HOP_US)
         for broker, life in sorted(brokers, key=lambda each: each[0].index):
@@ -182,7 +201,9 @@
         self.guide = CellsGuide(plan, world.spec.nodes) if plan is not None else None
         seed = world.seed * 1_000 + self.index * 10 + self.life
         self.core = Controller(world.spec.settings(self.zone), seed, guide=self.guide)
-        self.loop = Loop(self.core, self, lambda: world.now, partial(self.wake_at, self.life), TICK_US, CLASSES)
+        self.loop = Loop(
+            self.core, self, lambda: world.now, partial(self.wake_at, self.life), TICK_US, CLASSES
+        )
         self.drained = {}
         entries = list(world.listed.values())
         self.hear(self.life, Roster(ServerList(entries, complete=True)))
@@ -268,9 +289,22 @@
 
     open, heard_us = True, 0
 
-    def __init__(self, world: World, intent: Intent, number: int, broker: Broker, lesson: Lesson,
-                 player: Player | None = None) -> None:
-        self.world, self.intent, self.number, self.broker, self.life = world, intent, number, broker, broker.life
+    def __init__(
+        self,
+        world: World,
+        intent: Intent,
+        number: int,
+        broker: Broker,
+        lesson: Lesson,
+        player: Player | None = None,
+    ) -> None:
+        self.world, self.intent, self.number, self.broker, self.life = (
+            world,
+            intent,
+            number,
+            broker,
+            broker.life,
+        )
         self.lesson, self.player, self.rate = lesson, player, lesson.rate
         self.session = f"{intent.viewer}.{number}"
         self.asked_us = world.now
@@ -285,8 +319,18 @@
         returned = self.number > 0 and (self.player is None or self.player.storm.marked)
         world.books.tries[intent.tenant] += 1
         request = SessionRequest(
-            self.session, intent.cls, lesson.title, lesson.home, lesson.copies, intent.ceiling, deadline,
-            self.left_s * SECOND * self.draw.uniform(0.8, 1.25), intent.viewer, intent.tenant, returned=returned)
+            self.session,
+            intent.cls,
+            lesson.title,
+            lesson.home,
+            lesson.copies,
+            intent.ceiling,
+            deadline,
+            self.left_s * SECOND * self.draw.uniform(0.8, 1.25),
+            intent.viewer,
+            intent.tenant,
+            returned=returned,
+        )
         self.broker.hear(self.life, Asked(request, b"", self), HOP_US)
         world.later(deadline - world.now + 60_000, self.overdue)
 
@@ -417,7 +461,9 @@
             self.blocks[tenant] = loads.index(min(loads))
             loads[self.blocks[tenant]] += part
         self.sums = list(accumulate(self.parts.values()))
-        self.lessons = {tenant: [self.lesson(tenant, at) for at in range(spec.lessons)] for tenant in self.tenants}
+        self.lessons = {
+            tenant: [self.lesson(tenant, at) for at in range(spec.lessons)] for tenant in self.tenants
+        }
         self.brokers = [Broker(self, index) for index in range(spec.brokers)]
         self.viewers = 0
 
@@ -451,8 +497,9 @@
         ceiling = draw.choice([1, 2]) if draw.random() < 0.24 else len(LADDER) - 1
         return Intent(viewer, tenant, cls, draw.uniform(*LENGTHS[cls]), ceiling, self.now, counted)
 
-    def ask(self, intent: Intent, number: int, lesson: Lesson, draw: random.Random,
-            player: Player | None = None) -> None:
+    def ask(
+        self, intent: Intent, number: int, lesson: Lesson, draw: random.Random, player: Player | None = None
+    ) -> None:
         """A try, at any broker of the viewer's building that is up."""
         zone = ZONES[random.Random(f"{self.seed} {intent.viewer}").randrange(len(ZONES))]
         near = [each for each in self.brokers if each.zone == zone]
@@ -471,8 +518,15 @@
         intent = self.intent(viewer, named, draw, counted)
         self.ask(intent, 0, lesson or draw.choice(self.lessons[named]), draw)
 
-    def arrivals(self, rate: float, start_s: float, end_s: float, tenant: str | None, draw: random.Random,
-                 lesson: Lesson | None = None) -> None:
+    def arrivals(
+        self,
+        rate: float,
+        start_s: float,
+        end_s: float,
+        tenant: str | None,
+        draw: random.Random,
+        lesson: Lesson | None = None,
+    ) -> None:
         """Poisson arrivals, drawn ahead: they don't wait for answers."""
         at = start_s + draw.expovariate(rate)
         while at < end_s:
@@ -522,7 +576,9 @@
             if self.now % NOTE_US < METER_US and gives < SHARE_FULL:
                 stream.broker.hear(stream.life, EdgeNoted(node.name, stream.session, "share", gives), LATE_US)
             if (self.now + node.index * 70_000) % LOAD_US < METER_US:
-                stream.broker.hear(stream.life, EdgeNoted(node.name, stream.session, "link", node.load), LATE_US)
+                stream.broker.hear(
+                    stream.life, EdgeNoted(node.name, stream.session, "link", node.load), LATE_US
+                )
 
     # ---- troubles -----------------------------------------------------------------------------------------
 
@@ -582,8 +638,14 @@
         spec = self.spec
         self.arrivals(spec.rate, 0.0, spec.day_s, None, self.draw)
         for at, crowd in enumerate(spec.crowds):
-            self.arrivals(crowd.rate, crowd.start_s, crowd.end_s, crowd.tenant,
-                          random.Random(f"{self.seed} crowd {at}"), self.lessons[crowd.tenant][0])
+            self.arrivals(
+                crowd.rate,
+                crowd.start_s,
+                crowd.end_s,
+                crowd.tenant,
+                random.Random(f"{self.seed} crowd {at}"),
+                self.lessons[crowd.tenant][0],
+            )
         for storm in spec.storms:
             extra = (storm.times - 1) * self.parts[storm.tenant] * spec.rate
             for index in range(max(1, round(extra * PLAYER_US / SECOND))):
--- a/lotuspick/lab/experiment/cost.py
+++ b/lotuspick/lab/experiment/cost.py
@@ -73,17 +73,22 @@
                 name, server = action.session, action.server
                 self.after(now + 80_000, Started(name, 0, server, 80_000))
                 self.after(now + 90_000, Note(name, server, "link", 0.5))
-                self.after(now + self.lengths[name], Ended(name, 0, server, "served", True, report={"link": 0.5}))
+                self.after(
+                    now + self.lengths[name], Ended(name, 0, server, "served", True, report={"link": 0.5})
+                )
             case Refuse() | Fail():
                 self.answers += 1
 
 
-def cost(told: dict[str, Any], arm: dict[str, Any], seed: int) -> tuple[dict[str, float], dict[str, list[float]]]:
+def cost(
+    told: dict[str, Any], arm: dict[str, Any], seed: int
+) -> tuple[dict[str, float], dict[str, list[float]]]:
     """``ratio``: mean time of the decisions on a session, its outcomes included, with cells over without.
     ``grown``: MiB by which the process's peak in the last fifth of the names thrown at the guide lies above that in the
     second fifth: peaks, since tables that fill and are emptied move what it holds at any one time."""
-    nodes, tenants, sessions = (int(arm.get(key, usual)) for key, usual in
-                                (("nodes", 60), ("tenants", 1_000), ("sessions", 6_000)))
+    nodes, tenants, sessions = (
+        int(arm.get(key, usual)) for key, usual in (("nodes", 60), ("tenants", 1_000), ("sessions", 6_000))
+    )
     size = nodes // 6
     blocks = {f"c{at}": {"positions": [f"{at * size}-{at * size + size - 1}"]} for at in range(6)}
     text: dict[str, Any] = {"cells": blocks}
@@ -91,7 +96,9 @@
         text = {"cells": {f"c{at}": {"shuffle": 5} for at in range(6)}}
     settings = Spec(nodes=nodes, racks=10).settings("norte")
     sides = [Side(Controller(settings, seed, guide)) for guide in (None, CellsGuide(parse(text), nodes))]
-    roster = ServerList([ServerEntry(f"m-{at}", "norte", "nodo-2c", at) for at in range(nodes)], complete=True)
+    roster = ServerList(
+        [ServerEntry(f"m-{at}", "norte", "nodo-2c", at) for at in range(nodes)], complete=True
+    )
     for side in sides:
         side.step(0, [roster])
     draw, now, asked = random.Random(f"cost {seed}"), 10 * SECOND, 0
@@ -107,8 +114,20 @@
             home = random.Random(f"{tenant} {lesson}").randrange(nodes)
             for side in sides:
                 side.lengths[f"s{asked}"] = int(draw.uniform(15, 46) * SECOND)
-            events.append(SessionRequest(f"s{asked}", cls, f"{tenant}-{lesson}", home, int(arm.get("copies", 4)), 3,
-                                         now + 4 * SECOND, 30e6, f"v{asked}", tenant))
+            events.append(
+                SessionRequest(
+                    f"s{asked}",
+                    cls,
+                    f"{tenant}-{lesson}",
+                    home,
+                    int(arm.get("copies", 4)),
+                    3,
+                    now + 4 * SECOND,
+                    30e6,
+                    f"v{asked}",
+                    tenant,
+                )
+            )
         if asked == warm:
             for side in sides:
                 side.seconds = 0.0
@@ -123,8 +142,14 @@
         if at % 500 == 0:
             fifth = at * FIFTHS // names
             peaks[fifth] = max(peaks[fifth], resident_mib())
-        ask = SessionRequest(f"n{at}", "repaso", f"l{at}", at % nodes, 4, 3, now + 4 * SECOND, 30e6, f"w{at}",
-                             f"made-up-{at}")
+        ask = SessionRequest(
+            f"n{at}", "repaso", f"l{at}", at % nodes, 4, 3, now + 4 * SECOND, 30e6, f"w{at}", f"made-up-{at}"
+        )
         guide.bounds(now + at * 100, ask)
         guide.told(now + at * 100, Refuse(f"n{at}"))
-    return {"without_us": without, "within_us": within, "ratio": within / without, "grown": peaks[-1] - peaks[1]}, {}
+    return {
+        "without_us": without,
+        "within_us": within,
+        "ratio": within / without,
+        "grown": peaks[-1] - peaks[1],
+    }, {}
--- a/lotuspick/lab/experiment/model.py
+++ b/lotuspick/lab/experiment/model.py
@@ -60,9 +60,18 @@
     try:
         told = tomllib.loads(path.read_text(encoding="utf-8"))
         measures = tuple(Measure(**{"name": key, **body}) for key, body in told["measures"].items())
-        made = Experiment(name, told["about"], told["trial"], told.get("world", {}), told["arms"], measures,
-                          _span(told, "quick"), _span(told, "full"), told.get("world_full", {}),
-                          told.get("alone", False))
+        made = Experiment(
+            name,
+            told["about"],
+            told["trial"],
+            told.get("world", {}),
+            told["arms"],
+            measures,
+            _span(told, "quick"),
+            _span(told, "full"),
+            told.get("world_full", {}),
+            told.get("alone", False),
+        )
     except OSError as error:
         raise ExperimentError(f"{path}: {error.strerror}") from None
     except KeyError as error:
--- a/lotuspick/lab/experiment/run.py
+++ b/lotuspick/lab/experiment/run.py
@@ -39,7 +39,7 @@
     @property
     def bound(self) -> str:
         most, least = self.measure.most, self.measure.least
-        return (f"at most {most:g}" if most < math.inf else f"at least {least:g}" if least > -math.inf else "")
+        return f"at most {most:g}" if most < math.inf else f"at least {least:g}" if least > -math.inf else ""
 
 
 def trial(job: tuple[str, dict[str, Any], dict[str, Any], int]) -> tuple[Row, dict[str, list[float]]]:
@@ -48,11 +48,15 @@
     return trials.TRIALS[name](world, arm, seed)
 
 
-def play(experiment: Experiment, seeds: Sequence[int],
-         processes: int = 8) -> tuple[dict[str, list[Row]], dict[str, dict[str, list[float]]]]:
+def play(
+    experiment: Experiment, seeds: Sequence[int], processes: int = 8
+) -> tuple[dict[str, list[Row]], dict[str, dict[str, list[float]]]]:
     """All arms on all seeds: the rows of each arm in the order of seeds, and the samples of each."""
-    jobs = [(experiment.trial, dict(experiment.world), dict(arm), seed)
-            for arm in experiment.arms.values() for seed in seeds]
+    jobs = [
+        (experiment.trial, dict(experiment.world), dict(arm), seed)
+        for arm in experiment.arms.values()
+        for seed in seeds
+    ]
     if processes > 1 and not experiment.alone:
         with ProcessPoolExecutor(processes) as pool:
             found = list(pool.map(trial, jobs))
@@ -61,7 +65,7 @@
     rows: dict[str, list[Row]] = {}
     samples: dict[str, dict[str, list[float]]] = {}
     for at, arm in enumerate(experiment.arms):
-        part = found[at * len(seeds):(at + 1) * len(seeds)]
+        part = found[at * len(seeds) : (at + 1) * len(seeds)]
         rows[arm] = [row for row, _ in part]
         samples[arm] = {}
         for _, more in part:
@@ -85,7 +89,9 @@
         mean = statistics.fmean(values)
         half = 0.0
         if len(values) > 1 and statistics.stdev(values) > 0:
-            half = float(stats.t.ppf(0.975, len(values) - 1)) * statistics.stdev(values) / math.sqrt(len(values))
+            half = (
+                float(stats.t.ppf(0.975, len(values) - 1)) * statistics.stdev(values) / math.sqrt(len(values))
+            )
         figures.append(Figure(measure, mean, mean - half, mean + half))
     return figures
 
@@ -93,15 +99,28 @@
 def verdict(experiment: Experiment, figures: Sequence[Figure], seeds: Sequence[int]) -> tuple[bool, str]:
     """Whether all bounds hold, and the one line that says so."""
     holds = all(figure.holds for figure in figures)
-    pairs = " ".join(f"{figure.measure.name}={figure.mean:.3g}" if figure.measure.total else
-                     f"{figure.measure.name}={figure.mean:.2f}[{figure.low:.2f},{figure.high:.2f}]"
-                     for figure in figures)
-    return holds, f"{experiment.name}: {'holds' if holds else 'falls short'} {pairs} seeds={seeds[0]}-{seeds[-1]}"
-
-
-def write(experiment: Experiment, seeds: Sequence[int], rows: dict[str, list[Row]],
-          samples: dict[str, dict[str, list[float]]], figures: Sequence[Figure], line: str, command: str,
-          folder: Path = RESULTS) -> Path:
+    pairs = " ".join(
+        f"{figure.measure.name}={figure.mean:.3g}"
+        if figure.measure.total
+        else f"{figure.measure.name}={figure.mean:.2f}[{figure.low:.2f},{figure.high:.2f}]"
+        for figure in figures
+    )
+    return (
+        holds,
+        f"{experiment.name}: {'holds' if holds else 'falls short'} {pairs} seeds={seeds[0]}-{seeds[-1]}",
+    )
+
+
+def write(
+    experiment: Experiment,
+    seeds: Sequence[int],
+    rows: dict[str, list[Row]],
+    samples: dict[str, dict[str, list[float]]],
+    figures: Sequence[Figure],
+    line: str,
+    command: str,
+    folder: Path = RESULTS,
+) -> Path:
     """Write ``table.csv`` (a row a run), ``measures.csv``, ``chart.png`` and ``README.md`` in a folder of its own."""
     import matplotlib
 
@@ -121,14 +140,31 @@
         table = csv.writer(sink)
         table.writerow(["measure", "mean", "low", "high", "bound", "holds"])
         for figure in figures:
-            table.writerow([figure.measure.name, f"{figure.mean:.4f}", f"{figure.low:.4f}", f"{figure.high:.4f}",
-                            figure.bound, "yes" if figure.holds else "no"])
+            table.writerow(
+                [
+                    figure.measure.name,
+                    f"{figure.mean:.4f}",
+                    f"{figure.low:.4f}",
+                    f"{figure.high:.4f}",
+                    figure.bound,
+                    "yes" if figure.holds else "no",
+                ]
+            )
     if any(samples.values()):
-        (there / "samples.json").write_text(json.dumps(
-            {arm: {key: sorted(round(value, 3) for value in values) for key, values in more.items()}
-             for arm, more in samples.items()}) + "\n", encoding="utf-8")
+        (there / "samples.json").write_text(
+            json.dumps(
+                {
+                    arm: {key: sorted(round(value, 3) for value in values) for key, values in more.items()}
+                    for arm, more in samples.items()
+                }
+            )
+            + "\n",
+            encoding="utf-8",
+        )
     shown = [figure for figure in figures if not figure.measure.total]
-    distributions = [(arm, key, values) for arm, more in samples.items() for key, values in more.items() if values]
+    distributions = [
+        (arm, key, values) for arm, more in samples.items() for key, values in more.items() if values
+    ]
     count = bool(shown) + len(distributions)
     drawing, axes = pyplot.subplots(1, max(1, count), figsize=(6.5 * max(1, count), 4.2), squeeze=False)
     if shown:
@@ -152,16 +188,44 @@
     drawing.tight_layout()
     drawing.savefig(there / "chart.png", dpi=110, metadata={"Software": None})
     pyplot.close(drawing)
-    (there / "README.md").write_text("\n".join([
-        f"# {experiment.name}", "", experiment.about, "", f"    {line}", "",
-        f"Command: `{command}`, commit `{commit()}`, seeds {seeds[0]} to {seeds[-1]}. `table.csv` has a row a run.", "",
-        "| measure | mean | 95% interval | bound | holds |", "| --- | --- | --- | --- | --- |",
-        *(f"| {figure.measure.name} | {figure.mean:.3f} | "
-          f"{'total' if figure.measure.total else f'{figure.low:.3f} to {figure.high:.3f}'} | {figure.bound} | "
-          f"{'yes' if figure.holds else 'NO'} |" for figure in figures),
-        *(["", *(f"{arm}, {key}: {len(values)} samples, median {statistics.median(values):.2f}, "
-                 f"p90 {quantile(values, 0.9):.2f}, most {max(values):.2f}." for arm, key, values in distributions)]),
-        "", "![chart](chart.png)", ""]), encoding="utf-8")
+    (there / "README.md").write_text(
+        "\n".join(
+            [
+                f"# {experiment.name}",
+                "",
+                experiment.about,
+                "",
+                f"    {line}",
+                "",
+                f"Command: `{command}`, commit `{commit()}`, seeds {seeds[0]} to {seeds[-1]}. "
+                "`table.csv` has a row a run.",
+                "",
+                "| measure | mean | 95% interval | bound | holds |",
+                "| --- | --- | --- | --- | --- |",
+                *(
+                    f"| {figure.measure.name} | {figure.mean:.3f} | "
+                    f"{'total' if figure.measure.total else f'{figure.low:.3f} to {figure.high:.3f}'} | "
+                    f"{figure.bound} | "
+                    f"{'yes' if figure.holds else 'NO'} |"
+                    for figure in figures
+                ),
+                *(
+                    [
+                        "",
+                        *(
+                            f"{arm}, {key}: {len(values)} samples, median {statistics.median(values):.2f}, "
+                            f"p90 {quantile(values, 0.9):.2f}, most {max(values):.2f}."
+                            for arm, key, values in distributions
+                        ),
+                    ]
+                ),
+                "",
+                "![chart](chart.png)",
+                "",
+            ]
+        ),
+        encoding="utf-8",
+    )
     return there
 
 
@@ -173,9 +237,15 @@
 def commit() -> str:
     """The commit of the sources, with ``+`` where they were changed since."""
     try:
-        head = subprocess.run(["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True, check=True)
-        changed = subprocess.run(["git", "status", "--porcelain", "lotuspick", "experiments"], capture_output=True,
-                                 text=True, check=True)
+        head = subprocess.run(
+            ["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True, check=True
+        )
+        changed = subprocess.run(
+            ["git", "status", "--porcelain", "lotuspick", "experiments"],
+            capture_output=True,
+            text=True,
+            check=True,
+        )
     except (OSError, subprocess.CalledProcessError):
         return "unknown"
     return head.stdout.strip() + ("+" if changed.stdout.strip() else "")
--- a/lotuspick/lab/experiment/trials.py
+++ b/lotuspick/lab/experiment/trials.py
@@ -32,27 +32,37 @@
         selector = Selector(positions=frozenset(range(at * size, (at + 1) * size)))
         cell = Cell(f"c{at}", selector)
         cells[cell.name] = cell if budgets else replace(cell, limits=FREE, elsewhere=1e9)
-    rules = tuple(Rule(tenant, "*", f"c{world.blocks[tenant]}", world.parts[tenant]) for tenant in world.tenants)
+    rules = tuple(
+        Rule(tenant, "*", f"c{world.blocks[tenant]}", world.parts[tenant]) for tenant in world.tenants
+    )
     named = frozenset(world.tenants)
     plan = Plan(cells, epoch, rules=rules, moves=moves, named=named)
-    return plan if budgets else replace(plan, tenant=FREE, parts=Parts(contended_from=1e9, least=1_000_000_000))
+    return (
+        plan if budgets else replace(plan, tenant=FREE, parts=Parts(contended_from=1e9, least=1_000_000_000))
+    )
 
 
 def world_of(told: dict[str, Any]) -> Spec:
     """The world of a file. Raises ``TypeError`` naming a key that it has not."""
-    values: dict[str, Any] = {key: tuple(value) if isinstance(value, list) else value for key, value in told.items()}
+    values: dict[str, Any] = {
+        key: tuple(value) if isinstance(value, list) else value for key, value in told.items()
+    }
     return Spec(**values)
 
 
 def troubles(spec: Spec, draw: random.Random) -> tuple[Trouble, ...]:
     """A slow node, a dead one, a late roster and silent notes, somewhere in the day."""
+
     def when(long_s: float) -> tuple[float, float]:
         start = draw.uniform(20.0, spec.day_s - long_s - 10.0)
         return start, start + long_s
 
-    return (Trouble("slow", *when(12.0), draw.randrange(spec.nodes)),
-            Trouble("dead", *when(15.0), draw.randrange(spec.nodes)),
-            Trouble("late", *when(15.0)), Trouble("mute", *when(8.0)))
+    return (
+        Trouble("slow", *when(12.0), draw.randrange(spec.nodes)),
+        Trouble("dead", *when(15.0), draw.randrange(spec.nodes)),
+        Trouble("late", *when(15.0)),
+        Trouble("mute", *when(8.0)),
+    )
 
 
 def cells(told: dict[str, Any], arm: dict[str, Any], seed: int) -> Found:
@@ -60,25 +70,39 @@
     tenants of other cells; ``same``: of the other tenants of its cell; ``own``: its own viewers'."""
     spec = world_of(told)
     draw = random.Random(f"storm {seed}")
-    tenant = f"t{draw.randrange(12):03d}"  # one of the larger ones: what a small one asks at 20 times is little
+    tenant = (
+        f"t{draw.randrange(12):03d}"  # one of the larger ones: what a small one asks at 20 times is little
+    )
     if arm.get("troubles"):
         spec = replace(spec, troubles=troubles(spec, draw))
     if arm.get("storm"):
-        storm = Storm(tenant, spec.measure_from_s + 5, spec.day_s - 5, float(arm.get("times", 20.0)),
-                      float(arm.get("leaks", 1.0)), bool(arm.get("marked", True)))
+        storm = Storm(
+            tenant,
+            spec.measure_from_s + 5,
+            spec.day_s - 5,
+            float(arm.get("times", 20.0)),
+            float(arm.get("leaks", 1.0)),
+            bool(arm.get("marked", True)),
+        )
         spec = replace(spec, storms=(storm,))
     world = World(spec, seed)
     if arm["plan"] != "none":
         world = World(spec, seed, [(0.0, blocks(world, arm["plan"] == "budgets"))])
     day = world.play()
     home = world.blocks[tenant]
-    groups = {"others": {each for each in world.tenants if world.blocks[each] != home},
-              "same": {each for each in world.tenants if world.blocks[each] == home and each != tenant},
-              "own": {tenant}, "all": set(world.tenants)}
+    groups = {
+        "others": {each for each in world.tenants if world.blocks[each] != home},
+        "same": {each for each in world.tenants if world.blocks[each] == home and each != tenant},
+        "own": {tenant},
+        "all": set(world.tenants),
+    }
     row = {name: 100 * day.books.service(group) for name, group in groups.items()}
-    row |= {"broken": float(len(day.books.broken)), "requests": float(day.books.tries[tenant]),
-            "nodes": float(len(day.books.touched.get(tenant, ()))),
-            "refused": float(day.books.outcomes["refused"])}
+    row |= {
+        "broken": float(len(day.books.broken)),
+        "requests": float(day.books.tries[tenant]),
+        "nodes": float(len(day.books.touched.get(tenant, ()))),
+        "refused": float(day.books.outcomes["refused"]),
+    }
     return row, {}
 
 
@@ -90,7 +114,7 @@
     draw = random.Random(f"moves {seed}")
     count = int(arm.get("moves", 10))
     tenants = [f"t{index:03d}" for index in draw.sample(range(60), count)]
-    crowds = tuple(Crowd(tenant, 0.0, 0.0, 1.5) for tenant in tenants[:count // 2])
+    crowds = tuple(Crowd(tenant, 0.0, 0.0, 1.5) for tenant in tenants[: count // 2])
     scout = World(replace(spec, wide=tuple(tenants)), seed)
     first: list[Move] = []
     later: list[Move] = []
@@ -101,14 +125,26 @@
         move = Move(tenant, target, 1, start, 3 * SECOND, 15 * SECOND, 70 * SECOND, pauses)
         first.append(move)
         if at % 5 == 1:  # moved back home before the first move is done
-            later += [move, Move(tenant, f"c{scout.blocks[tenant]}", 2, start + 12 * SECOND, 2 * SECOND, 10 * SECOND,
-                                 70 * SECOND)]
+            later += [
+                move,
+                Move(
+                    tenant,
+                    f"c{scout.blocks[tenant]}",
+                    2,
+                    start + 12 * SECOND,
+                    2 * SECOND,
+                    10 * SECOND,
+                    70 * SECOND,
+                ),
+            ]
         elif at % 5 == 2:
             later.append(replace(move, back_us=start + 11 * SECOND))
         else:
             later.append(move)
-    crowds = tuple(replace(crowd, start_s=move.start_us / SECOND, end_s=move.start_us / SECOND + 30.0)
-                   for crowd, move in zip(crowds, first))
+    crowds = tuple(
+        replace(crowd, start_s=move.start_us / SECOND, end_s=move.start_us / SECOND + 30.0)
+        for crowd, move in zip(crowds, first)
+    )
     noise = []
     for _ in range(int(arm.get("kills", 2))):
         at_s = draw.uniform(18.0, 70.0)
@@ -117,22 +153,30 @@
         noise.append(Trouble("stale", 10.0, draw.uniform(25.0, 60.0), draw.randrange(spec.brokers)))
     noise += troubles(spec, draw) if arm.get("troubles") else ()
     spec = replace(spec, crowds=crowds, troubles=tuple(noise), wide=tuple(tenants))
-    plans = [(0.0, blocks(scout)), (12.0, blocks(scout, epoch=2, moves=tuple(first))),
-             (15.0, blocks(scout, epoch=3, moves=tuple(later)))]
+    plans = [
+        (0.0, blocks(scout)),
+        (12.0, blocks(scout, epoch=2, moves=tuple(first))),
+        (15.0, blocks(scout, epoch=3, moves=tuple(later))),
+    ]
     if arm.get("still"):  # the same day, and nobody is moved
         plans = plans[:1]
     world = World(spec, seed, plans)
     drains: dict[str, float] = {}
-    ends = {move.tenant: move.start_us + move.prepare_us + move.shift_us + sum(to - at for at, to in move.pauses)
-            for move in first if len([each for each in later if each.tenant == move.tenant]) == 1
-            and not any(each.back_us for each in later if each.tenant == move.tenant)}
+    ends = {
+        move.tenant: move.start_us + move.prepare_us + move.shift_us + sum(to - at for at, to in move.pauses)
+        for move in first
+        if len([each for each in later if each.tenant == move.tenant]) == 1
+        and not any(each.back_us for each in later if each.tenant == move.tenant)
+    }
     size = spec.nodes // spec.cells
 
     def look() -> None:
         for tenant, end_us in ends.items():
             if world.now >= end_us:
-                old = world.nodes[world.blocks[tenant] * size:(world.blocks[tenant] + 1) * size]
-                if any(stream.viewer.intent.tenant == tenant for node in old for stream in node.streams.values()):
+                old = world.nodes[world.blocks[tenant] * size : (world.blocks[tenant] + 1) * size]
+                if any(
+                    stream.viewer.intent.tenant == tenant for node in old for stream in node.streams.values()
+                ):
                     drains[tenant] = (world.now + METER_US - end_us) / SECOND
                 else:
                     drains.setdefault(tenant, 0.0)
@@ -142,13 +186,25 @@
     books = day.books
     dropped = sum(times for cause, times in books.ends.items() if cause.startswith("dropped"))
     twice = sum(times > 1 for times in books.runs.values())
-    return {"moves": 0.0 if arm.get("still") else float(len(later)), "dropped": float(dropped), "twice": float(twice),
-            "broken": float(len(books.broken)), "service": 100 * books.service(),
-            "moving": 100 * books.service(set(tenants)), "sessions": float(books.outcomes["served"]),
-            "cut by kills": float(books.ends["broker killed"])}, {
-        "drain": [] if arm.get("still") else list(drains.values())}
+    return {
+        "moves": 0.0 if arm.get("still") else float(len(later)),
+        "dropped": float(dropped),
+        "twice": float(twice),
+        "broken": float(len(books.broken)),
+        "service": 100 * books.service(),
+        "moving": 100 * books.service(set(tenants)),
+        "sessions": float(books.outcomes["served"]),
+        "cut by kills": float(books.ends["broker killed"]),
+    }, {"drain": [] if arm.get("still") else list(drains.values())}
 
 
 TRIALS: dict[str, Callable[[dict[str, Any], dict[str, Any], int], Found]] = {
-    "cells": cells, "moves": moves, "cost": cost, "seats": seats, "seats-cost": seats_cost,
-    "load": load, "membership": membership, "fleet": fleet}
+    "cells": cells,
+    "moves": moves,
+    "cost": cost,
+    "seats": seats,
+    "seats-cost": seats_cost,
+    "load": load,
+    "membership": membership,
+    "fleet": fleet,
+}
--- a/lotuspick/lab/fleet/callers.py
+++ b/lotuspick/lab/fleet/callers.py
@@ -64,7 +64,8 @@
             if connection is None or not connection.up:
                 try:
                     _, connection = await asyncio.wait_for(
-                        loop.create_connection(Counting, "127.0.0.1", port), 1.0)
+                        loop.create_connection(Counting, "127.0.0.1", port), 1.0
+                    )
                 except (OSError, TimeoutError):
                     connection = None
             paid = self.draw.random() < self.job["paid"]
@@ -77,17 +78,28 @@
         session, draw = f"{self.number:016x}", self.draw
         asked, began = time.time(), time.monotonic()
         path = f"home:{draw.randrange(self.job['nodes'])};copies:3;top:2;viewer:{session}"
-        headers = {"P-Kind": kind, "P-Time-Left": "3000", "P-Path": path, "X-Length": "20000.0", "P-Billed": "law"}
-        status, reason, gap_ms = LOST if connection is None else await connection.ask(
-            "SETUP", "1", session, headers, f"seat=b{at}", "aa00")
+        headers = {
+            "P-Kind": kind,
+            "P-Time-Left": "3000",
+            "P-Path": path,
+            "X-Length": "20000.0",
+            "P-Billed": "law",
+        }
+        status, reason, gap_ms = (
+            LOST
+            if connection is None
+            else await connection.ask("SETUP", "1", session, headers, f"seat=b{at}", "aa00")
+        )
         took_ms = (time.monotonic() - began) * 1_000
         if connection is not None and status == 200:
             await asyncio.sleep(draw.uniform(0.1, 0.5))
             await connection.ask("TEARDOWN", "2", session, {})
         answers = connection.answers.pop(session, 0) if connection is not None else 0
         how = "-" if connection is None or connection.up else "cut"
-        self.log.write(f"{at} {kind} {session} {asked:.3f} {took_ms:.1f} {status} "
-                       f"{reason.replace(' ', '-') or '-'}/{gap_ms} {answers} {how}\n")
+        self.log.write(
+            f"{at} {kind} {session} {asked:.3f} {took_ms:.1f} {status} "
+            f"{reason.replace(' ', '-') or '-'}/{gap_ms} {answers} {how}\n"
+        )
 
 
 async def _main() -> None:
--- a/lotuspick/lab/fleet/relay.py
+++ b/lotuspick/lab/fleet/relay.py
@@ -88,12 +88,14 @@
 
     async def _listen(self, one: int, other: int) -> None:
         for _ in range(20):
-            server = await asyncio.start_server(lambda reader, writer: self._joined(one, other, reader, writer),
-                                                "127.0.0.1", 0)
+            server = await asyncio.start_server(
+                lambda reader, writer: self._joined(one, other, reader, writer), "127.0.0.1", 0
+            )
             port = server.sockets[0].getsockname()[1]
             try:
                 datagrams, _protocol = await self.loop.create_datagram_endpoint(
-                    lambda: Datagrams(self, self.ways[one, other], self.places[other]), ("127.0.0.1", port))
+                    lambda: Datagrams(self, self.ways[one, other], self.places[other]), ("127.0.0.1", port)
+                )
             except OSError:
                 server.close()
                 continue
@@ -102,7 +104,9 @@
             return
         raise RuntimeError("no port is free for TCP and UDP alike")
 
-    async def _joined(self, one: int, other: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _joined(
+        self, one: int, other: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         """A broker has dialled another: what it says goes one way, what comes back the other."""
         there, back = self.ways[one, other], self.ways[other, one]
         onward: asyncio.StreamWriter | None = None
@@ -112,8 +116,10 @@
             await back.whole.wait()
             answers, onward = await asyncio.open_connection(*self.places[other])
             self._open[one, other].add(onward)
-            pumps = [asyncio.create_task(self._pump(reader, onward, there)),
-                     asyncio.create_task(self._pump(answers, writer, back))]
+            pumps = [
+                asyncio.create_task(self._pump(reader, onward, there)),
+                asyncio.create_task(self._pump(answers, writer, back)),
+            ]
             await asyncio.wait(pumps, return_when=asyncio.FIRST_EXCEPTION)
             for pump in pumps:
                 pump.cancel()
--- a/lotuspick/lab/fleet/rig.py
+++ b/lotuspick/lab/fleet/rig.py
@@ -28,14 +28,36 @@
 
 PATIENCE_S = 60.0
 SETTINGS: dict[str, Any] = {
-    "Az": "a", "GroupSize": 1, "MachineTypes": ["box"], "PeriodUs": 10_000, "Discovery": "automatic",
-    "Categories": [{"Name": "clip", "Repeat": "pure", "TargetUs": 1_000_000, "Worth": 1.0},
-                   {"Name": "exam", "Repeat": "side_effect", "TargetUs": 1_000_000, "Worth": 2.0,
-                    "HardLimitUs": 3_000_000}],
-    "FamilyInfo": {"LevelKb": [1.0, 2.0, 4.0], "WorthByRung": [0.3, 0.6, 1.0], "WeightKb": 4e6, "PlacesByKind": [4_000],
-                   "ClassFloor": [0, 1]},
-    "Limits": {"AttemptsCap": 3, "DialTimeoutUs": 250_000, "ConnIdleUs": 30_000_000, "StreamsPerConn": 512,
-               "RetryAfter": True, "MaxRetryAfterUs": 2_000_000},
+    "Az": "a",
+    "GroupSize": 1,
+    "MachineTypes": ["box"],
+    "PeriodUs": 10_000,
+    "Discovery": "automatic",
+    "Categories": [
+        {"Name": "clip", "Repeat": "pure", "TargetUs": 1_000_000, "Worth": 1.0},
+        {
+            "Name": "exam",
+            "Repeat": "side_effect",
+            "TargetUs": 1_000_000,
+            "Worth": 2.0,
+            "HardLimitUs": 3_000_000,
+        },
+    ],
+    "FamilyInfo": {
+        "LevelKb": [1.0, 2.0, 4.0],
+        "WorthByRung": [0.3, 0.6, 1.0],
+        "WeightKb": 4e6,
+        "PlacesByKind": [4_000],
+        "ClassFloor": [0, 1],
+    },
+    "Limits": {
+        "AttemptsCap": 3,
+        "DialTimeoutUs": 250_000,
+        "ConnIdleUs": 30_000_000,
+        "StreamsPerConn": 512,
+        "RetryAfter": True,
+        "MaxRetryAfterUs": 2_000_000,
+    },
     "Invariants": {"DrainGraceUs": 2_000_000},
 }
 _LIBC = ctypes.CDLL(None)
@@ -107,8 +129,16 @@
     def read(cls, line: str) -> Call:
         """From the callers' log."""
         at, kind, _, asked, took, status, reason, answers, how = line.split()
-        return cls(int(at), kind == "exam", float(asked), float(took), int(status), reason.partition("/")[0],
-                   int(answers), how == "cut" or reason.startswith("lost"))
+        return cls(
+            int(at),
+            kind == "exam",
+            float(asked),
+            float(took),
+            int(status),
+            reason.partition("/")[0],
+            int(answers),
+            how == "cut" or reason.startswith("lost"),
+        )
 
 
 class Rig:
@@ -120,8 +150,9 @@
     later = 0
     """So many of the brokers, the last ones, are not started with the rest."""
 
-    def __init__(self, folder: Path, brokers: int, nodes: int, seed: int,
-                 settings: dict[str, Any] | None = None) -> None:
+    def __init__(
+        self, folder: Path, brokers: int, nodes: int, seed: int, settings: dict[str, Any] | None = None
+    ) -> None:
         self.folder, self.seed = folder, seed
         self.settings = settings or SETTINGS
         self.processes: list[subprocess.Popen[str]] = []
@@ -130,8 +161,14 @@
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
         self.held = [Port() for _ in range(brokers)]
         try:
-            media = self.spawn("lotuspick.lab.seats.nodes", str(nodes), str(seed), str(folder / "ran.log"),
-                               json.dumps(self.faults), stdout=subprocess.PIPE)
+            media = self.spawn(
+                "lotuspick.lab.seats.nodes",
+                str(nodes),
+                str(seed),
+                str(folder / "ran.log"),
+                json.dumps(self.faults),
+                stdout=subprocess.PIPE,
+            )
             assert media.stdout is not None
             self.ports = json.loads(media.stdout.readline())
             self.prepare()
@@ -154,11 +191,18 @@
 
     # ---- processes ----------------------------------------------------------------------------------------
 
-    def spawn(self, module: str, *words: str, stdout: Any = subprocess.DEVNULL,
-              stderr: Any = None) -> subprocess.Popen[str]:
+    def spawn(
+        self, module: str, *words: str, stdout: Any = subprocess.DEVNULL, stderr: Any = None
+    ) -> subprocess.Popen[str]:
         environment = {key: value for key, value in os.environ.items() if not key.startswith("PROXY_")}
-        made = subprocess.Popen([sys.executable, "-m", module, *words], stdout=stdout, stderr=stderr, text=True,
-                                env=environment, preexec_fn=_dies_with_its_parent)
+        made = subprocess.Popen(
+            [sys.executable, "-m", module, *words],
+            stdout=stdout,
+            stderr=stderr,
+            text=True,
+            env=environment,
+            preexec_fn=_dies_with_its_parent,
+        )
         self.processes.append(made)
         return made
 
@@ -166,15 +210,39 @@
         return f"n{at}"
 
     def configure(self, at: int) -> None:
-        servers = [{"id": f"s-{node}", "addr": f"127.0.0.1:{port}", "zone": "a", "kind": "box", "cell": node,
-                    "state": "in_service", "weight": 1, "started_ms": 0} for node, port in enumerate(self.ports)]
+        servers = [
+            {
+                "id": f"s-{node}",
+                "addr": f"127.0.0.1:{port}",
+                "zone": "a",
+                "kind": "box",
+                "cell": node,
+                "state": "in_service",
+                "weight": 1,
+                "started_ms": 0,
+            }
+            for node, port in enumerate(self.ports)
+        ]
         settings = {**self.settings, "FamilyInfo": {**self.settings["FamilyInfo"], "Cells": len(servers)}}
-        (self.folder / f"b{at}.json").write_text(json.dumps({
-            "name": self.name(at), "listen": f"127.0.0.1:{self.held[at].number}", "seed": f"{self.seed * 100 + at:x}",
-            "settings": settings, "limits": {"cores": 1.0, "memory_mb": 2_048, "sockets": 4_096},
-            "coordinator": f"127.0.0.1:{self.server.server_address[1]}",
-            "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"version": 1, "full": True,
-                                                                         "servers": servers}}]}}), encoding="utf-8")
+        (self.folder / f"b{at}.json").write_text(
+            json.dumps(
+                {
+                    "name": self.name(at),
+                    "listen": f"127.0.0.1:{self.held[at].number}",
+                    "seed": f"{self.seed * 100 + at:x}",
+                    "settings": settings,
+                    "limits": {"cores": 1.0, "memory_mb": 2_048, "sockets": 4_096},
+                    "coordinator": f"127.0.0.1:{self.server.server_address[1]}",
+                    "known": {
+                        "index": 1,
+                        "updates": [
+                            {"index": 1, "endpoints": {"version": 1, "full": True, "servers": servers}}
+                        ],
+                    },
+                }
+            ),
+            encoding="utf-8",
+        )
 
     def log(self, at: int) -> str:
         """All that a broker has logged, over all its starts."""
@@ -247,9 +315,19 @@
     """Brokers that know each other, with a relay on every way between two. ``names``: other names than their numbers
     give, for those that share one; ``direct``: without relays."""
 
-    def __init__(self, folder: Path, brokers: int, nodes: int, seed: int, names: dict[int, str] | None = None,
-                 watch: dict[str, int] | None = None, direct: bool = False, later: int = 0, peers: bool = True,
-                 settings: dict[str, Any] | None = None) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        brokers: int,
+        nodes: int,
+        seed: int,
+        names: dict[int, str] | None = None,
+        watch: dict[str, int] | None = None,
+        direct: bool = False,
+        later: int = 0,
+        peers: bool = True,
+        settings: dict[str, Any] | None = None,
+    ) -> None:
         self.names, self.watch, self.direct, self.peers = names or {}, watch or {}, direct, peers
         self.later, self.fleet = later, brokers - later
         self.links = [Port() for _ in range(brokers)]
@@ -271,12 +349,25 @@
     def configure(self, at: int) -> None:
         super().configure(at)
         seeds = ", ".join(f'"{self.address(each)}"' for each in range(min(3, len(self.links))))
-        lines = ["enabled = true", f'listen = "{self.address(at)}"', f"seeds = [{seeds}]", f"brokers = {self.fleet}",
-                 f'store = "peers{at}"', f'control = "127.0.0.1:{self.controls[at].number}"',
-                 "[watch]", *(f"{key} = {value}" for key, value in self.watch.items())]
+        lines = [
+            "enabled = true",
+            f'listen = "{self.address(at)}"',
+            f"seeds = [{seeds}]",
+            f"brokers = {self.fleet}",
+            f'store = "peers{at}"',
+            f'control = "127.0.0.1:{self.controls[at].number}"',
+            "[watch]",
+            *(f"{key} = {value}" for key, value in self.watch.items()),
+        ]
         if self.relays is not None:
-            lines += ["[via]", *(f'"{self.address(other)}" = "127.0.0.1:{port}"'
-                                 for (one, other), port in self.relays.ports.items() if one == at)]
+            lines += [
+                "[via]",
+                *(
+                    f'"{self.address(other)}" = "127.0.0.1:{port}"'
+                    for (one, other), port in self.relays.ports.items()
+                    if one == at
+                ),
+            ]
         (self.folder / f"b{at}-peers.toml").write_text("\n".join(lines) + "\n")
 
     # ---- viewers ------------------------------------------------------------------------------------------
@@ -284,9 +375,18 @@
     def call(self, rate: float, paid: float = 0.4) -> None:
         """Have viewers call every broker from now on, so many a second each, a part of them for paid sessions."""
         job = self.folder / "callers.json"
-        job.write_text(json.dumps({
-            "ports": [port.number for port in self.held], "rate": rate, "paid": paid, "seed": self.seed,
-            "nodes": len(self.ports), "log": str(self.folder / "called.log")}))
+        job.write_text(
+            json.dumps(
+                {
+                    "ports": [port.number for port in self.held],
+                    "rate": rate,
+                    "paid": paid,
+                    "seed": self.seed,
+                    "nodes": len(self.ports),
+                    "log": str(self.folder / "called.log"),
+                }
+            )
+        )
         self.callers = self.spawn("lotuspick.lab.fleet.callers", str(job), stdout=subprocess.PIPE)
         assert self.callers.stdout is not None
         self.callers.stdout.readline()
@@ -327,16 +427,25 @@
         wanted = {self.name(at) for at in up}
 
         def so() -> bool:
-            return all({name for name, state in self.seen(at).items() if state == "alive"} == wanted
-                       and self.standing(at) == standing for at in up)
-
-        return self.until(so, f"{sorted(wanted)} agree at {standing}",
-                          lambda: str([(at, self.standing(at), self.seen(at)) for at in up]))
+            return all(
+                {name for name, state in self.seen(at).items() if state == "alive"} == wanted
+                and self.standing(at) == standing
+                for at in up
+            )
+
+        return self.until(
+            so,
+            f"{sorted(wanted)} agree at {standing}",
+            lambda: str([(at, self.standing(at), self.seen(at)) for at in up]),
+        )
 
     def stood(self, at: Sequence[int], *standings: str) -> float:
         """Wait until brokers stand so; seconds."""
-        return self.until(lambda: all(self.standing(each) in standings for each in at), f"{at} stand {standings}",
-                          lambda: str([self.standing(each) for each in at]))
+        return self.until(
+            lambda: all(self.standing(each) in standings for each in at),
+            f"{at} stand {standings}",
+            lambda: str([self.standing(each) for each in at]),
+        )
 
     # ---- faults -------------------------------------------------------------------------------------------
 
--- a/lotuspick/lab/fleet/trial.py
+++ b/lotuspick/lab/fleet/trial.py
@@ -39,14 +39,20 @@
 def outcomes(calls: list[Call], hurt: set[int]) -> dict[str, float]:
     """How many set-ups had no outcome, or more than one, though their connection stood; and the part of plain ones at
     brokers whose process was not hurt that was not served."""
-    wrong = [call for call in calls if call.answers > 1
-             or call.answers == 0 and not call.cut and call.broker not in hurt]
+    wrong = [
+        call
+        for call in calls
+        if call.answers > 1 or call.answers == 0 and not call.cut and call.broker not in hurt
+    ]
     plain = [call for call in calls if not call.paid and call.broker not in hurt]
     paid = [call for call in calls if call.paid]
-    return {"calls": float(len(calls)), "not_one_outcome": float(len(wrong)),
-            "plain_lost": 100 * sum(call.status != 200 for call in plain) / max(1, len(plain)),
-            "paid_turned_away": 100 * sum(call.reason.startswith("fleet-") for call in paid) / max(1, len(paid)),
-            "plain_turned_away": float(sum(call.reason.startswith("fleet-") for call in calls if not call.paid))}
+    return {
+        "calls": float(len(calls)),
+        "not_one_outcome": float(len(wrong)),
+        "plain_lost": 100 * sum(call.status != 200 for call in plain) / max(1, len(plain)),
+        "paid_turned_away": 100 * sum(call.reason.startswith("fleet-") for call in paid) / max(1, len(paid)),
+        "plain_turned_away": float(sum(call.reason.startswith("fleet-") for call in calls if not call.paid)),
+    }
 
 
 def story(folder: Path, told: dict[str, Any], seed: int) -> Found:
@@ -70,9 +76,13 @@
         crashed = sum("Traceback" in made.log(at) for at in range(count))
     finally:
         made.end()
-    return {**outcomes(calls, hurt), "agree_s": took_s,
-            "never_agreed": float(took_s >= NEVER_S), "faults": float(len(faults)),
-            "crashed": float(crashed)}, {"agree_s": [took_s]}
+    return {
+        **outcomes(calls, hurt),
+        "agree_s": took_s,
+        "never_agreed": float(took_s >= NEVER_S),
+        "faults": float(len(faults)),
+        "crashed": float(crashed),
+    }, {"agree_s": [took_s]}
 
 
 def names(folder: Path, told: dict[str, Any], seed: int) -> Found:
@@ -91,9 +101,14 @@
         ran = len(made.ran())
         made.until(lambda: len(made.ran()) > ran + 200, "set-ups run")
         calls = made.called()
-        paid = {at: [call.asked_s + call.took_ms / 1_000 for call in calls
-                     if call.broker == at and call.paid and call.status == 200]
-                for at in (1, count)}
+        paid = {
+            at: [
+                call.asked_s + call.took_ms / 1_000
+                for call in calls
+                if call.broker == at and call.paid and call.status == 200
+            ]
+            for at in (1, count)
+        }
         crashed = sum("Traceback" in made.log(at) for at in range(count + 1))
     finally:
         made.end()
@@ -140,6 +155,12 @@
     row: dict[str, float] = {}
     for name, on in (("off", False), ("on", True)):
         cuts = statistics.quantiles(took[on], n=100)
-        row |= {f"median_{name}_ms": cuts[49], f"p99_{name}_ms": cuts[98], f"calls_{name}": float(len(took[on]))}
-    return row | {"median_ratio": row["median_on_ms"] / row["median_off_ms"],
-                  "p99_ratio": row["p99_on_ms"] / row["p99_off_ms"]}, {}
+        row |= {
+            f"median_{name}_ms": cuts[49],
+            f"p99_{name}_ms": cuts[98],
+            f"calls_{name}": float(len(took[on])),
+        }
+    return row | {
+        "median_ratio": row["median_on_ms"] / row["median_off_ms"],
+        "p99_ratio": row["p99_on_ms"] / row["p99_off_ms"],
+    }, {}
--- a/lotuspick/lab/load/arrivals.py
+++ b/lotuspick/lab/load/arrivals.py
@@ -42,13 +42,23 @@
     """... and this is the part."""
 
     def __post_init__(self) -> None:
-        for key, value, least in (("seconds", self.seconds, 0.0), ("rate", self.rate, 0.0), ("to", self.to, 0.0)):
+        for key, value, least in (
+            ("seconds", self.seconds, 0.0),
+            ("rate", self.rate, 0.0),
+            ("to", self.to, 0.0),
+        ):
             if not isinstance(value, (int, float)) or not least <= value < math.inf:
-                raise LoadError(f"phase {self.name}: {key} must be a number of {least:g} or more, not {value!r}")
+                raise LoadError(
+                    f"phase {self.name}: {key} must be a number of {least:g} or more, not {value!r}"
+                )
         if self.shape not in SHAPES:
-            raise LoadError(f"phase {self.name}: shape must be one of {', '.join(SHAPES)}, not {self.shape!r}")
+            raise LoadError(
+                f"phase {self.name}: shape must be one of {', '.join(SHAPES)}, not {self.shape!r}"
+            )
         if not 0 <= self.crowd <= 1 or self.crowd and not self.lesson:
-            raise LoadError(f"phase {self.name}: crowd must be a part from 0 to 1 and lesson name what it is for")
+            raise LoadError(
+                f"phase {self.name}: crowd must be a part from 0 to 1 and lesson name what it is for"
+            )
 
     def rates(self, at: Floats) -> Floats:
         """Requests a second wanted at times since the phase began."""
@@ -61,7 +71,7 @@
             case "sine":  # a day from its quietest hour to the next
                 return self.rate + (self.to - self.rate) * (1 - np.cos(2 * math.pi * part)) / 2
             case "closing":  # rises to the last moment: half of what it adds comes in the last tenth
-                return self.rate + (self.to - self.rate) * part ** CLOSING
+                return self.rate + (self.to - self.rate) * part**CLOSING
             case _:
                 return np.full_like(at, self.rate)
 
@@ -77,7 +87,9 @@
 
     def __post_init__(self) -> None:
         if not 0 < self.part <= 1 or not 0 < self.least_s <= self.most_s < math.inf:
-            raise LoadError(f"class {self.cls}: part must be above 0 and at most 1, lengths above 0 and in order")
+            raise LoadError(
+                f"class {self.cls}: part must be above 0 and at most 1, lengths above 0 and in order"
+            )
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,7 +124,10 @@
     def __post_init__(self) -> None:
         if not self.phases or not self.kinds:
             raise LoadError("a load needs phases and classes")
-        for key, parts in (("classes", [kind.part for kind in self.kinds]), ("ceilings", list(self.ceilings.values()))):
+        for key, parts in (
+            ("classes", [kind.part for kind in self.kinds]),
+            ("ceilings", list(self.ceilings.values())),
+        ):
             if not math.isclose(sum(parts), 1.0, abs_tol=1e-6):
                 raise LoadError(f"{key}: parts must add up to 1, not {sum(parts):g}")
         if self.lessons < 1 or self.tenants < 1:
@@ -158,6 +173,15 @@
             kind, number = kinds[cls[row]], number + 1
             named = phase.lesson if crowded[row] else f"lesson-{lesson[row]}"
             length_s = kind.least_s + length[row] * (kind.most_s - kind.least_s)
-            yield Arrival(int((began_s + at[row]) * 1e6), number, kind.cls, named, f"tenant-{owners[lesson[row]]}",
-                          number, int(ceiling[row]), int(length_s * 1e6), phase.name)
+            yield Arrival(
+                int((began_s + at[row]) * 1e6),
+                number,
+                kind.cls,
+                named,
+                f"tenant-{owners[lesson[row]]}",
+                number,
+                int(ceiling[row]),
+                int(length_s * 1e6),
+                phase.name,
+            )
         began_s += phase.seconds
--- a/lotuspick/lab/load/measure.py
+++ b/lotuspick/lab/load/measure.py
@@ -56,7 +56,8 @@
     def answered(self, cls: str, phase: str, outcome: str, due_us: int, at_us: int) -> None:
         """It has its answer: the time counts from when it was due."""
         self.waiting.setdefault(due_us // 1_000_000, []).append(
-            ((cls, phase, outcome), min(MOST_US, max(LEAST_US, at_us - due_us))))
+            ((cls, phase, outcome), min(MOST_US, max(LEAST_US, at_us - due_us)))
+        )
 
     def voided(self) -> list[int]:
         """Seconds in which too many sends were late: what was measured in them is the generator's doing."""
@@ -91,11 +92,14 @@
         void = self.voided()
         if not void:
             return ON_TIME
-        return (f"the generator fell behind in {len(void)} of {len(self.seconds)} seconds, which are void: "
-                f"{', '.join(map(str, void[:10]))}{' ...' if len(void) > 10 else ''}")
-
-    def quantiles(self, cls: str, outcome: str, phase: str = "",
-                  at: tuple[float, ...] = (50.0, 99.0, 99.9)) -> Mapping[float, float]:
+        return (
+            f"the generator fell behind in {len(void)} of {len(self.seconds)} seconds, which are void: "
+            f"{', '.join(map(str, void[:10]))}{' ...' if len(void) > 10 else ''}"
+        )
+
+    def quantiles(
+        self, cls: str, outcome: str, phase: str = "", at: tuple[float, ...] = (50.0, 99.0, 99.9)
+    ) -> Mapping[float, float]:
         """Latency in microseconds at percentiles, over all phases or in one."""
         whole = histogram()
         for (each, when, what), one in self.latency.items():
@@ -105,10 +109,12 @@
 
     def pack(self) -> dict[str, object]:
         """As plain values, for another process: histograms in the library's own compressed form."""
-        return {"latency": [[*key, each.encode().decode("ascii")] for key, each in self.latency.items()],
-                "outcomes": [[*key, times] for key, times in self.outcomes.items()],
-                "lag": self.lag.encode().decode("ascii"),
-                "seconds": [[at, second.due, second.late] for at, second in self.seconds.items()]}
+        return {
+            "latency": [[*key, each.encode().decode("ascii")] for key, each in self.latency.items()],
+            "outcomes": [[*key, times] for key, times in self.outcomes.items()],
+            "lag": self.lag.encode().decode("ascii"),
+            "seconds": [[at, second.due, second.late] for at, second in self.seconds.items()],
+        }
 
     @classmethod
     def unpack(cls, told: Mapping[str, list[list[object]]]) -> Found:
--- a/lotuspick/lab/load/sender.py
+++ b/lotuspick/lab/load/sender.py
@@ -97,7 +97,9 @@
         link = Link(self)
         self.links.append(link)
         try:
-            await asyncio.wait_for(loop.create_connection(lambda: link, self.target.host, self.target.port), CONNECT_S)
+            await asyncio.wait_for(
+                loop.create_connection(lambda: link, self.target.host, self.target.port), CONNECT_S
+            )
         except (OSError, TimeoutError) as error:
             self.trouble[type(error).__name__] += 1
 
@@ -118,7 +120,9 @@
             return
         self.links[at] = link = Link(self)
         try:
-            await asyncio.get_running_loop().create_connection(lambda: link, self.target.host, self.target.port)
+            await asyncio.get_running_loop().create_connection(
+                lambda: link, self.target.host, self.target.port
+            )
         except OSError as error:
             self.trouble[type(error).__name__] += 1
 
@@ -130,8 +134,10 @@
 
     def _end(self, each: Arrival, link: Link) -> None:
         if link.up:
-            link.transport.write(f"TEARDOWN rtsp://media/{each.lesson} RTSP/1.0\r\nCSeq: 2\r\nSession: "
-                                 f"{each.session:016x}\r\nContent-Length: 0\r\n\r\n".encode("ascii"))
+            link.transport.write(
+                f"TEARDOWN rtsp://media/{each.lesson} RTSP/1.0\r\nCSeq: 2\r\nSession: "
+                f"{each.session:016x}\r\nContent-Length: 0\r\n\r\n".encode("ascii")
+            )
 
     def _now_us(self) -> int:
         return int((time.monotonic() - self.began_s) * 1e6)
@@ -140,7 +146,9 @@
 def set_up(each: Arrival, session: str, target: Target) -> str:
     """The platform's request for an arrival."""
     home = sum(each.lesson.encode()) % target.positions
-    return (f"SETUP rtsp://media/{each.lesson} RTSP/1.0\r\nCSeq: 1\r\nSession: {session}\r\nP-Kind: {each.cls}\r\n"
-            f"P-Time-Left: {target.left_ms}\r\nP-Path: home:{home};copies:3;top:{each.ceiling};"
-            f"viewer:{each.viewer:016x}\r\nX-Length: {each.length_us / 1_000:.1f}\r\nP-Billed: {each.tenant}\r\n"
-            "Content-Length: 0\r\n\r\n")
+    return (
+        f"SETUP rtsp://media/{each.lesson} RTSP/1.0\r\nCSeq: 1\r\nSession: {session}\r\nP-Kind: {each.cls}\r\n"
+        f"P-Time-Left: {target.left_ms}\r\nP-Path: home:{home};copies:3;top:{each.ceiling};"
+        f"viewer:{each.viewer:016x}\r\nX-Length: {each.length_us / 1_000:.1f}\r\nP-Billed: {each.tenant}\r\n"
+        "Content-Length: 0\r\n\r\n"
+    )
--- a/lotuspick/lab/load/standin.py
+++ b/lotuspick/lab/load/standin.py
@@ -56,7 +56,9 @@
             loop.call_later(after_s, self.answer, session)
 
     def answer(self, session: str) -> None:
-        self.transport.write(f"RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: {session}\r\nContent-Length: 0\r\n\r\n".encode())
+        self.transport.write(
+            f"RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: {session}\r\nContent-Length: 0\r\n\r\n".encode()
+        )
 
 
 async def serve(kind: str) -> None:
--- a/lotuspick/lab/load/trace.py
+++ b/lotuspick/lab/load/trace.py
@@ -66,8 +66,22 @@
     encode = msgspec.json.Encoder().encode
     yield encode(Head(FORMAT, VERSION)) + b"\n"
     for each in arrivals:
-        yield encode(Line(each.at_us, each.session, each.cls, each.lesson, each.tenant, each.viewer, each.ceiling,
-                          each.length_us, each.phase)) + b"\n"
+        yield (
+            encode(
+                Line(
+                    each.at_us,
+                    each.session,
+                    each.cls,
+                    each.lesson,
+                    each.tenant,
+                    each.viewer,
+                    each.ceiling,
+                    each.length_us,
+                    each.phase,
+                )
+            )
+            + b"\n"
+        )
 
 
 def read(lines: Iterable[bytes]) -> Trace:
@@ -111,10 +125,21 @@
                 problems.append(Fault(number, "twice", f"session {told.session}"))
                 renamed.append(len(found))
             numbers.add(told.session)
-            found.append(Arrival(at_us, told.session, told.cls, told.lesson, told.tenant, told.viewer, told.ceiling,
-                                 told.length, told.phase))
+            found.append(
+                Arrival(
+                    at_us,
+                    told.session,
+                    told.cls,
+                    told.lesson,
+                    told.tenant,
+                    told.viewer,
+                    told.ceiling,
+                    told.length,
+                    told.phase,
+                )
+            )
         total += len(problems)
-        faults.extend(problems[:MOST_FAULTS - len(faults)])
+        faults.extend(problems[: MOST_FAULTS - len(faults)])
     following = max(numbers, default=0)
     for index in renamed:
         following += 1
@@ -123,8 +148,13 @@
     return Trace([replace(each, at_us=each.at_us - first_us) for each in found], faults, total - len(faults))
 
 
-def cut(trace: Trace, from_s: float = 0.0, to_s: float = float("inf"), speed: float = 1.0,
-        longest_gap_s: float = float("inf")) -> Trace:
+def cut(
+    trace: Trace,
+    from_s: float = 0.0,
+    to_s: float = float("inf"),
+    speed: float = 1.0,
+    longest_gap_s: float = float("inf"),
+) -> Trace:
     """A part of a trace, from 0 on, ``speed`` times as fast, its gaps shortened. Lengths of sessions stay as they are,
     so that a faster trace asks for more at once. Raises :class:`LoadError`."""
     if not speed > 0 or not 0 <= from_s < to_s or not longest_gap_s >= 0:
--- a/lotuspick/lab/load/trial.py
+++ b/lotuspick/lab/load/trial.py
@@ -18,19 +18,27 @@
 NEAR_PART, NEAR_US = 0.02, 1_000.0
 
 
-def load(told: dict[str, Any], arm: dict[str, Any], seed: int) -> tuple[dict[str, float], dict[str, list[float]]]:
+def load(
+    told: dict[str, Any], arm: dict[str, Any], seed: int
+) -> tuple[dict[str, float], dict[str, list[float]]]:
     """``kind`` of delay, ``rate`` a second for ``seconds``. ``off``: the largest error of p50, p99 and p99.9, where 1
     is the larger of 2% of the truth and 1 ms; ``closed_off`` the same of a client that waits."""
     told = {**told, **arm}
     kinds = [Kind("c", 1.0, 600.0, 600.0)]
     arrivals = list(drawn(Load([Phase("p", told["seconds"], told["rate"])], kinds), seed))
     first_us = arrivals[0].at_us
-    true_us = sorted(each * 1e6 for each in standin.truth(
-        told["kind"], [(each.at_us - first_us) / 1e6 for each in arrivals]))
+    true_us = sorted(
+        each * 1e6
+        for each in standin.truth(told["kind"], [(each.at_us - first_us) / 1e6 for each in arrivals])
+    )
     found, trouble = asyncio.run(against(told["kind"], arrivals))
     closed = asyncio.run(waiting(told["kind"], told["seconds"], told["rate"]))
-    row: dict[str, float] = {"voided": len(found.voided()), "sent": len(arrivals), "trouble": trouble,
-                             "lag_p999_us": float(found.lag.get_value_at_percentile(99.9))}
+    row: dict[str, float] = {
+        "voided": len(found.voided()),
+        "sent": len(arrivals),
+        "trouble": trouble,
+        "lag_p999_us": float(found.lag.get_value_at_percentile(99.9)),
+    }
     measured = found.quantiles("c", "200", at=AT)
     for name, values in (("", measured), ("closed_", {at: quantile(closed, at) for at in AT})):
         worst = 0.0
@@ -49,8 +57,9 @@
 
 
 def started(kind: str) -> tuple[subprocess.Popen[str], int]:
-    process = subprocess.Popen([sys.executable, "-m", "lotuspick.lab.load.standin", kind], stdout=subprocess.PIPE,
-                               text=True)
+    process = subprocess.Popen(
+        [sys.executable, "-m", "lotuspick.lab.load.standin", kind], stdout=subprocess.PIPE, text=True
+    )
     assert process.stdout is not None
     return process, int(process.stdout.readline())
 
@@ -94,4 +103,3 @@
         return sorted(took)
     finally:
         ended(process)
-
--- a/lotuspick/lab/net/fleet.py
+++ b/lotuspick/lab/net/fleet.py
@@ -23,22 +23,41 @@
 class Fleet(World):
     """Brokers b0, b1, ... at h0, h1, ...; the first three are seeds. ``rates``: how fast clocks may run."""
 
-    def __init__(self, count: int, seed: int, weather: Weather | None = None, rates: tuple[float, ...] = (1.0,),
-                 **rules: int) -> None:
+    def __init__(
+        self,
+        count: int,
+        seed: int,
+        weather: Weather | None = None,
+        rates: tuple[float, ...] = (1.0,),
+        **rules: int,
+    ) -> None:
         super().__init__(seed, weather)
         self.names = [f"h{at}" for at in range(count)]
         for at, name in enumerate(self.names):
-            self.add(name, lambda: Members(Rules(**rules)), [Asked(Begin(f"b{at}", name, tuple(self.names[:3])))],
-                     self.random.choice(rates))
+            self.add(
+                name,
+                lambda: Members(Rules(**rules)),
+                [Asked(Begin(f"b{at}", name, tuple(self.names[:3])))],
+                self.random.choice(rates),
+            )
             self.start(name)
 
     def views(self) -> set[tuple[Any, ...]]:
         """What each that is up and takes part believes."""
-        return {tuple((each.name, each.life, each.state) for each in sorted(
-            host.machine.records.values(), key=lambda each: each.name)) for host in self.taking_part()}
+        return {
+            tuple(
+                (each.name, each.life, each.state)
+                for each in sorted(host.machine.records.values(), key=lambda each: each.name)
+            )
+            for host in self.taking_part()
+        }
 
     def taking_part(self) -> list[Any]:
-        return [host for host in self.hosts.values() if host.up and not (host.machine.displaced or host.machine.left)]
+        return [
+            host
+            for host in self.hosts.values()
+            if host.up and not (host.machine.displaced or host.machine.left)
+        ]
 
     def counts(self) -> set[int]:
         return {len(host.machine.alive()) for host in self.taking_part()}
@@ -57,14 +76,20 @@
 
     def deaths(self, *names: str) -> list[tuple[float, str]]:
         """When who came to believe that a member was dead; without names of any."""
-        return [(at_us / SECOND, host) for at_us, host, news in self.told
-                if isinstance(news, Changed) and news.record.state is State.DEAD
-                and (not names or news.record.name in names)]
+        return [
+            (at_us / SECOND, host)
+            for at_us, host, news in self.told
+            if isinstance(news, Changed)
+            and news.record.state is State.DEAD
+            and (not names or news.record.name in names)
+        ]
 
     def happens(self, fault: Fault) -> None:
         """One fault of a story. There are no connections to reset here."""
         one = [self.names[at] for at in fault.one] or self.names
-        other = [self.names[at] for at in fault.other] or [name for name in self.names if name not in one] or one
+        other = (
+            [self.names[at] for at in fault.other] or [name for name in self.names if name not in one] or one
+        )
         match fault.do:
             case "cut":
                 self.cut(one, other, fault.both)
@@ -103,7 +128,9 @@
         return [(host, news) for _, host, news in self.told if isinstance(news, kind)]
 
 
-def membership(told: dict[str, Any], arm: dict[str, Any], seed: int) -> tuple[dict[str, float], dict[str, list[float]]]:
+def membership(
+    told: dict[str, Any], arm: dict[str, Any], seed: int
+) -> tuple[dict[str, float], dict[str, list[float]]]:
     """``kind``: ``death`` (one of ``brokers`` is killed: when all live ones know), ``loss`` (``seconds`` at a part
     lost, with stalls under a second: how many live ones were declared dead), or ``faults`` (all faults at once for
     ``seconds``: how long after the last one all agree). ``brokers`` is a number or the name of one in the world."""
@@ -140,15 +167,22 @@
     """One is killed after a quiet stretch in which messages are counted."""
     quiet_s, count = 3, len(made.names)
     made.run(quiet_s * SECOND)
-    row = {"joined_s": joined_s, "messages": made.sent / quiet_s / count, "bytes": made.bytes / quiet_s / count}
+    row = {
+        "joined_s": joined_s,
+        "messages": made.sent / quiet_s / count,
+        "bytes": made.bytes / quiet_s / count,
+    }
     victim = made.random.randrange(count)
     made.crash(made.names[victim])
     began_s = made.now_us / SECOND
     made.run(6 * SECOND)
     knew = [at_s - began_s for at_s, _ in made.deaths(f"b{victim}")]
     late = count - 1 - len(knew)
-    row |= {"known_s": statistics.median(knew) if knew else NEVER_S, "worst_s": NEVER_S if late else max(knew),
-            "wrong": float(len(made.deaths()) - len(knew))}
+    row |= {
+        "known_s": statistics.median(knew) if knew else NEVER_S,
+        "worst_s": NEVER_S if late else max(knew),
+        "wrong": float(len(made.deaths()) - len(knew)),
+    }
     return row, {"known_s": knew}
 
 
@@ -159,10 +193,17 @@
         if made.random.random() < 0.3:
             made.stall(made.random.choice(made.names), made.random.randrange(50 * MS, 999 * MS))
         made.run(SECOND)
-    dead = {(news.record.process, news.record.turn) for _, _, news in made.told
-            if isinstance(news, Changed) and news.record.state is State.DEAD}
+    dead = {
+        (news.record.process, news.record.turn)
+        for _, _, news in made.told
+        if isinstance(news, Changed) and news.record.state is State.DEAD
+    }
     accused = sum(host.machine.false_accusations for host in made.hosts.values())
-    return {"hours": seconds * len(made.names) / 3_600, "deaths": float(len(dead)), "refuted": float(accused)}, {}
+    return {
+        "hours": seconds * len(made.names) / 3_600,
+        "deaths": float(len(dead)),
+        "refuted": float(accused),
+    }, {}
 
 
 def faults(made: Fleet, seconds: int) -> tuple[dict[str, float], dict[str, list[float]]]:
@@ -175,4 +216,6 @@
     took_s = made.agree_s()
     if took_s > SETTLED_S:
         print(write(story), file=sys.stderr)
-    return {"agree_s": min(took_s, NEVER_S), "displaced": float(len(made.news(Displaced)))}, {"agree_s": [took_s]}
+    return {"agree_s": min(took_s, NEVER_S), "displaced": float(len(made.news(Displaced)))}, {
+        "agree_s": [took_s]
+    }
--- a/lotuspick/lab/net/story.py
+++ b/lotuspick/lab/net/story.py
@@ -37,9 +37,14 @@
     """Of a loss the part that is lost, of a delay its seconds."""
 
     def __str__(self) -> str:
-        pairs = [f"at_s = {self.at_s:g}", f'do = "{self.do}"', f"one = {list(self.one)}" if self.one else "",
-                 f"other = {list(self.other)}" if self.other else "", "" if self.both else "both = false",
-                 f"part = {self.part:g}" if self.part else ""]
+        pairs = [
+            f"at_s = {self.at_s:g}",
+            f'do = "{self.do}"',
+            f"one = {list(self.one)}" if self.one else "",
+            f"other = {list(self.other)}" if self.other else "",
+            "" if self.both else "both = false",
+            f"part = {self.part:g}" if self.part else "",
+        ]
         return "\n".join(["[[fault]]", *(pair for pair in pairs if pair), ""])
 
 
@@ -56,8 +61,14 @@
         if each.get("do") not in KINDS:
             raise StoryFault(f"fault {number}: do must be one of {', '.join(KINDS)}")
         try:
-            fault = Fault(float(each.get("at_s", 0.0)), each["do"], tuple(each.get("one", ())),
-                          tuple(each.get("other", ())), bool(each.get("both", True)), float(each.get("part", 0.0)))
+            fault = Fault(
+                float(each.get("at_s", 0.0)),
+                each["do"],
+                tuple(each.get("one", ())),
+                tuple(each.get("other", ())),
+                bool(each.get("both", True)),
+                float(each.get("part", 0.0)),
+            )
         except (TypeError, ValueError) as error:
             raise StoryFault(f"fault {number}: {error}") from None
         if any(not isinstance(at, int) or not 0 <= at < brokers for at in fault.one + fault.other):
--- a/lotuspick/lab/net/world.py
+++ b/lotuspick/lab/net/world.py
@@ -13,7 +13,20 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lotuspick.steps import Effect, Event, Fired, Heard, Lasting, Machine, Outbox, Send, SetTimer, Started, Tell, Write
+from lotuspick.steps import (
+    Effect,
+    Event,
+    Fired,
+    Heard,
+    Lasting,
+    Machine,
+    Outbox,
+    Send,
+    SetTimer,
+    Started,
+    Tell,
+    Write,
+)
 
 MS = 1_000
 FOREVER_US = 1 << 60
@@ -99,7 +112,7 @@
     def crash(self, name: str) -> None:
         """Kill the process. Of the writes that were not told some lasted, the earlier ones first."""
         host = self.hosts[name]
-        for _, key, record in host.unsure[:self.random.randint(0, len(host.unsure))]:
+        for _, key, record in host.unsure[: self.random.randint(0, len(host.unsure))]:
             host.disk[key] = record
         host.up = False
 
@@ -190,8 +203,12 @@
                     self._send(host, effect)
                 case SetTimer(timer=timer, delay_us=delay_us):
                     host.timers[timer] = self.clock(host) + delay_us
-                    self._later(self.now_us + int(delay_us / host.rate) + 1 + self.random.randint(0, MS), host.name,
-                                host.process, Fired(timer))
+                    self._later(
+                        self.now_us + int(delay_us / host.rate) + 1 + self.random.randint(0, MS),
+                        host.name,
+                        host.process,
+                        Fired(timer),
+                    )
                 case Tell(news=news):
                     self.told.append((self.now_us, host.name, news))
 
--- a/lotuspick/lab/rtsp.py
+++ b/lotuspick/lab/rtsp.py
@@ -58,16 +58,32 @@
                 self.answered(headers.get("cseq", ""), session)
                 future = self.waiting.get(f"{headers.get('cseq')} {session}")
                 if future is not None and not future.done():
-                    future.set_result((int(first[9:12]), first[13:].strip(), int(headers.get("p-gap-ms", "0"))))
+                    future.set_result(
+                        (int(first[9:12]), first[13:].strip(), int(headers.get("p-gap-ms", "0")))
+                    )
             elif session in self.cut:
                 self.cut[session]()
 
-    async def ask(self, method: str, cseq: str, session: str, headers: dict[str, str], body: str = "",
-                  address: str = "session") -> Answer:
+    async def ask(
+        self,
+        method: str,
+        cseq: str,
+        session: str,
+        headers: dict[str, str],
+        body: str = "",
+        address: str = "session",
+    ) -> Answer:
         if not self.up:
             return LOST
-        lines = [f"{method} rtsp://media/{address} RTSP/1.0", f"CSeq: {cseq}", f"Session: {session}",
-                 *(f"{name}: {value}" for name, value in headers.items()), f"Content-Length: {len(body)}", "", body]
+        lines = [
+            f"{method} rtsp://media/{address} RTSP/1.0",
+            f"CSeq: {cseq}",
+            f"Session: {session}",
+            *(f"{name}: {value}" for name, value in headers.items()),
+            f"Content-Length: {len(body)}",
+            "",
+            body,
+        ]
         key = f"{cseq} {session}"
         future = self.waiting[key] = asyncio.get_running_loop().create_future()
         self.transport.write("\r\n".join(lines).encode("ascii"))
--- a/lotuspick/lab/seats/audit.py
+++ b/lotuspick/lab/seats/audit.py
@@ -28,7 +28,9 @@
     """Seats that played twice at once for longer than a viewer's change takes."""
 
 
-def audit(runs: Iterable[str], counted: Iterable[str], doubted: Iterable[str], change_s: float = 3.0) -> Findings:
+def audit(
+    runs: Iterable[str], counted: Iterable[str], doubted: Iterable[str], change_s: float = 3.0
+) -> Findings:
     """``runs``: lines of nodes' logs, ``ran|over SESSION SEAT NODE TIME``; ``counted``, ``doubted``: seats."""
     sessions: dict[str, set[str]] = defaultdict(set)
     spans: dict[str, dict[str, list[float]]] = defaultdict(dict)
@@ -57,6 +59,7 @@
                 found.missed.append(seat)
         if len(spans[seat]) > 1:
             ordered = sorted(spans[seat].values())
-            found.at_once += any(min(before[1], after[1]) - after[0] > change_s
-                                 for before, after in zip(ordered, ordered[1:]))
+            found.at_once += any(
+                min(before[1], after[1]) - after[0] > change_s for before, after in zip(ordered, ordered[1:])
+            )
     return found
--- a/lotuspick/lab/seats/cost.py
+++ b/lotuspick/lab/seats/cost.py
@@ -46,8 +46,10 @@
     reservation lasts. The commits run on their own thread, as in a broker."""
     key, now_s = Ed25519PrivateKey.generate(), int(time.time())
     checker = Checker("site", {"k": PublicKey("k", key.public_key())})
-    tokens = [sign(Seat(f"s{at}", "v", "law", "aa00", "exam", now_s, now_s, now_s + 9_000), "site", "k", key)
-              for at in range(count)]
+    tokens = [
+        sign(Seat(f"s{at}", "v", "law", "aa00", "exam", now_s, now_s, now_s + 9_000), "site", "k", key)
+        for at in range(count)
+    ]
     ledger, checks, lasts = Ledger(), list[float](), [0.0] * count
     with tempfile.TemporaryDirectory(dir=".") as name:
         store = SeatStore(Path(name, "seats"))
@@ -70,8 +72,13 @@
         commits.close()
         store.close()
     (check, check_99), (last, last_99) = quantiles(checks), quantiles(lasts)
-    return {"check_us": check, "check_p99_us": check_99, "write_us": last, "write_p99_us": last_99,
-            "commits": commits.commits}, {}
+    return {
+        "check_us": check,
+        "check_p99_us": check_99,
+        "write_us": last,
+        "write_p99_us": last_99,
+        "commits": commits.commits,
+    }, {}
 
 
 def recovery(count: int) -> Found:
@@ -79,9 +86,23 @@
     with tempfile.TemporaryDirectory(dir=".") as name:
         store = SeatStore(Path(name, "seats"), 4_096)
         for first in range(0, count, BATCH):
-            store.write([Record(f"1-{at}", State.RESERVED if at % 100 == 0 else State.RELEASED, f"{at:016x}",
-                                f"{at:016x}", 0, 1_800_000_000, 3, at % 100 != 0, 1_799_000_000, 1_799_000_060)
-                         for at in range(first, min(count, first + BATCH))])
+            store.write(
+                [
+                    Record(
+                        f"1-{at}",
+                        State.RESERVED if at % 100 == 0 else State.RELEASED,
+                        f"{at:016x}",
+                        f"{at:016x}",
+                        0,
+                        1_800_000_000,
+                        3,
+                        at % 100 != 0,
+                        1_799_000_000,
+                        1_799_000_060,
+                    )
+                    for at in range(first, min(count, first + BATCH))
+                ]
+            )
         store.close()
         began = time.perf_counter()
         store, ledger = SeatStore(Path(name, "seats"), 4_096), Ledger()
@@ -94,8 +115,25 @@
 
 def broker(told: dict[str, Any], seed: int) -> Found:
     """One broker without any faults at a rate of paid set-ups."""
-    row, samples = trial.seats({"brokers": 1, "nodes": 12, "clients": 1, "kill_s": 0, "clocks": False, "faults": False,
-                                "http": 0.0, **told}, {}, seed)
+    row, samples = trial.seats(
+        {
+            "brokers": 1,
+            "nodes": 12,
+            "clients": 1,
+            "kill_s": 0,
+            "clocks": False,
+            "faults": False,
+            "http": 0.0,
+            **told,
+        },
+        {},
+        seed,
+    )
     took, took_99 = quantiles(samples["took_ms"])
-    return {"cpu_us": row["cpu_s"] / row["viewers"] * 1e6, "took_ms": took, "took_p99_ms": took_99,
-            "never_served": row["never_served"], "sustained": row["viewers"] / row["seconds"]}, {}
+    return {
+        "cpu_us": row["cpu_s"] / row["viewers"] * 1e6,
+        "took_ms": took,
+        "took_p99_ms": took_99,
+        "never_served": row["never_served"],
+        "sustained": row["viewers"] / row["seconds"],
+    }, {}
--- a/lotuspick/lab/seats/nodes.py
+++ b/lotuspick/lab/seats/nodes.py
@@ -60,7 +60,7 @@
             length = int.from_bytes(self.buffer[:2], "big")
             if len(self.buffer) < 2 + length:
                 return
-            frame, self.buffer = self.buffer[2:2 + length], self.buffer[2 + length:]
+            frame, self.buffer = self.buffer[2 : 2 + length], self.buffer[2 + length :]
             self.message(wire.decode(frame))
 
     def say(self, frame: bytes) -> None:
@@ -139,7 +139,10 @@
     ports = []
     for at in range(count):
         server = await asyncio.get_running_loop().create_server(
-            lambda at=at: Node(f"s-{at}", seed, faults, log), "127.0.0.1", 0)  # type: ignore[misc]
+            lambda at=at: Node(f"s-{at}", seed, faults, log),  # type: ignore[misc]
+            "127.0.0.1",
+            0,
+        )
         ports.append(server.sockets[0].getsockname()[1])
     print(json.dumps(ports), flush=True)
     while True:
--- a/lotuspick/lab/seats/trial.py
+++ b/lotuspick/lab/seats/trial.py
@@ -39,17 +39,24 @@
     def configure(self, at: int) -> None:
         super().configure(at)
         (self.folder / f"b{at}-hints.toml").write_text(
-            f'enabled = true\nlisten = "127.0.0.1:{self.http[at].number}"\n')
+            f'enabled = true\nlisten = "127.0.0.1:{self.http[at].number}"\n'
+        )
         (self.folder / f"b{at}-seats.toml").write_text(
             f'enabled = {str(bool(self.told.get("seats", True))).lower()}\naudience = "site"\nkeys = "keys"\n'
-            f'store = "store{at}"\nstore_mib = 2048\n')
+            f'store = "store{at}"\nstore_mib = 2048\n'
+        )
 
     def command(self, at: int) -> list[str]:
         module, *rest = super().command(at)
         return [module, str(self.folder / f"b{at}-clock"), *rest]
 
     def options(self, at: int) -> list[str]:
-        return ["--hints", str(self.folder / f"b{at}-hints.toml"), "--seats", str(self.folder / f"b{at}-seats.toml")]
+        return [
+            "--hints",
+            str(self.folder / f"b{at}-hints.toml"),
+            "--seats",
+            str(self.folder / f"b{at}-seats.toml"),
+        ]
 
     def step_clock(self, at: int, off_s: float) -> None:
         (self.folder / f"b{at}-clock").write_text(str(off_s))
@@ -61,7 +68,9 @@
             port.held.close()
 
 
-def seats(told: dict[str, Any], arm: dict[str, Any], seed: int) -> tuple[dict[str, float], dict[str, list[float]]]:
+def seats(
+    told: dict[str, Any], arm: dict[str, Any], seed: int
+) -> tuple[dict[str, float], dict[str, list[float]]]:
     """Play one run. ``told``: sessions, rate (a second, all viewers together), brokers, nodes, clients, kill_s (between
     kills; 0: none) and clocks (whether they are set). The figures are counts of seats, but for times in ms. Where
     ``LOTUSPICK_KEEP`` names a folder, brokers' logs and all that viewers met are left there."""
@@ -75,18 +84,31 @@
             fleet.end()
 
 
-def play(fleet: Fleet, folder: Path, told: dict[str, Any],
-         seed: int) -> tuple[dict[str, float], dict[str, list[float]]]:
+def play(
+    fleet: Fleet, folder: Path, told: dict[str, Any], seed: int
+) -> tuple[dict[str, float], dict[str, list[float]]]:
     """The run itself, and what was found."""
     draw, clients, viewers = random.Random(f"faults {seed}"), told["clients"], []
     before_s = sum(processor_s(each.pid) for each in fleet.brokers.values())
     began = time.monotonic()
     for part in range(clients):
         job = folder / f"job{part}.json"
-        job.write_text(json.dumps({
-            "part": part, "seed": seed, "sessions": told["sessions"] // clients, "rate": told["rate"] / clients,
-            "brokers": fleet.listens, "nodes": told["nodes"], "keys": str(folder / "keys"),
-            "http": told.get("http", 0.05), "connections": 8, "log": str(folder / f"viewers{part}.log")}))
+        job.write_text(
+            json.dumps(
+                {
+                    "part": part,
+                    "seed": seed,
+                    "sessions": told["sessions"] // clients,
+                    "rate": told["rate"] / clients,
+                    "brokers": fleet.listens,
+                    "nodes": told["nodes"],
+                    "keys": str(folder / "keys"),
+                    "http": told.get("http", 0.05),
+                    "connections": 8,
+                    "log": str(folder / f"viewers{part}.log"),
+                }
+            )
+        )
         viewers.append(fleet.spawn("lotuspick.lab.seats.viewers", str(job)))
     steps = [-30.0, 3_600.0, 0.0] if told.get("clocks", True) else []
     kills, next_s, stepped = 0, float(told.get("kill_s", 0)) or float("inf"), 0
@@ -107,14 +129,17 @@
     took_s = time.monotonic() - began
     if any(each.returncode for each in viewers):
         raise RuntimeError("viewers failed")
-    cpu_s = sum(processor_s(each.pid) for each in fleet.brokers.values()) - before_s  # of no use where some were killed
+    cpu_s = (
+        sum(processor_s(each.pid) for each in fleet.brokers.values()) - before_s
+    )  # of no use where some were killed
     fleet.end()  # brokers write what waits, nodes what they ran
     row, samples = judge(folder, told, kills, stepped, took_s)
     return {**row, "cpu_s": cpu_s}, samples
 
 
-def judge(folder: Path, told: dict[str, Any], kills: int, stepped: int,
-          took_s: float) -> tuple[dict[str, float], dict[str, list[float]]]:
+def judge(
+    folder: Path, told: dict[str, Any], kills: int, stepped: int, took_s: float
+) -> tuple[dict[str, float], dict[str, list[float]]]:
     """Settle the ledgers by the command, twice and in another order, and audit what came out."""
     met: Counter[str] = Counter()
     never, answered, took = Counter[str](), 0, list[float]()
@@ -130,40 +155,82 @@
             elif float(took_ms) >= 0:
                 took.append(float(took_ms))
     row: dict[str, float] = {
-        "viewers": answered, "served": answered - sum(never.values()), "never_served": sum(never.values()),
-        "kills": kills, "clock_steps": stepped, "seconds": took_s}
+        "viewers": answered,
+        "served": answered - sum(never.values()),
+        "never_served": sum(never.values()),
+        "kills": kills,
+        "clock_steps": stepped,
+        "seconds": took_s,
+    }
     # A replay is not a good session: its refusals are meant.
     refused = sum(times for reason, times in met.items() if reason.startswith("token-"))
     replays = sum(times for reason, times in met.items() if reason.startswith("replay-"))
-    row |= {"refused_good": refused, "waits": met["seat-in-doubt"], "in_use": met["seat-in-use"],
-            "failed": met["Internal-Server-Error"], "cut": met["cut"], "lost": met["lost"], "renewed": met["renewed"],
-            "replays": replays, "replays_served": met["replay-200"]}
+    row |= {
+        "refused_good": refused,
+        "waits": met["seat-in-doubt"],
+        "in_use": met["seat-in-use"],
+        "failed": met["Internal-Server-Error"],
+        "cut": met["cut"],
+        "lost": met["lost"],
+        "renewed": met["renewed"],
+        "replays": replays,
+        "replays_served": met["replay-200"],
+    }
     if told.get("seats", True):
         stores = [f"n{at}={folder / f'store{at}'}" for at in range(told["brokers"])]
-        settled = [settle(folder / f"settled{turn}.jsonl", order) for turn, order in enumerate((stores, stores[::-1]))]
+        settled = [
+            settle(folder / f"settled{turn}.jsonl", order)
+            for turn, order in enumerate((stores, stores[::-1]))
+        ]
         again = settle(folder / "settled0.jsonl", stores)
-        if len({(folder / f"settled{turn}.jsonl").read_bytes() for turn in range(2)}) != 1 or again != settled[0]:
+        if (
+            len({(folder / f"settled{turn}.jsonl").read_bytes() for turn in range(2)}) != 1
+            or again != settled[0]
+        ):
             raise RuntimeError("ledgers settle differently in another order, or a second time")
         said = settled[0]
         with (folder / "ran.log").open() as runs:
             found = audit(runs, said["counted"], said["doubt"])
-        row |= {"ran": found.ran, "set_ups": found.set_ups, "double_counts": len(found.twice),
-                "phantom_counts": len(found.phantom), "missed_counts": len(found.missed), "in_doubt": found.doubted,
-                "at_once": found.at_once, "conflicts": len(said["conflict"])}
+        row |= {
+            "ran": found.ran,
+            "set_ups": found.set_ups,
+            "double_counts": len(found.twice),
+            "phantom_counts": len(found.phantom),
+            "missed_counts": len(found.missed),
+            "in_doubt": found.doubted,
+            "at_once": found.at_once,
+            "conflicts": len(said["conflict"]),
+        }
     keep = os.environ.get("LOTUSPICK_KEEP")
     if keep:
         Path(keep).mkdir(parents=True, exist_ok=True)
-        (Path(keep) / "met.json").write_text(json.dumps({"met": met, "never": never, "row": row}, indent=1) + "\n")
+        (Path(keep) / "met.json").write_text(
+            json.dumps({"met": met, "never": never, "row": row}, indent=1) + "\n"
+        )
         for log in folder.glob("b*.log"):
             (Path(keep) / log.name).write_text(log.read_text())
-    return row, {"took_ms": took[::max(1, len(took) // 5_000)]}
+    return row, {"took_ms": took[:: max(1, len(took) // 5_000)]}
 
 
 def settle(into: Path, stores: list[str]) -> dict[str, list[str]]:
     """What ``lotuspick seats settle`` says: seats that are counted, in doubt, in conflict."""
     listed = into.with_suffix(".seats")
-    done = subprocess.run([sys.executable, "-m", "lotuspick", "seats", "settle", *stores, "--into", str(into),
-                           "--counted", str(listed)], capture_output=True, text=True)
+    done = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "lotuspick",
+            "seats",
+            "settle",
+            *stores,
+            "--into",
+            str(into),
+            "--counted",
+            str(listed),
+        ],
+        capture_output=True,
+        text=True,
+    )
     if done.returncode:
         raise RuntimeError(done.stderr)
     found: dict[str, list[str]] = {"counted": listed.read_text().split(), "doubt": [], "conflict": []}
--- a/lotuspick/lab/seats/viewers.py
+++ b/lotuspick/lab/seats/viewers.py
@@ -20,6 +20,7 @@
 
 TRIES, LEFT_MS = 40, 3_000
 
+
 class Broker:
     """The way to one broker: a few connections, made again when they are lost."""
 
@@ -112,19 +113,27 @@
             await asyncio.sleep(max(gap_ms, 200) / 1_000 * draw.uniform(1.0, 1.5))
             if draw.random() < 0.5:
                 broker = self.broker(building)
-        if plays and ended == "left" and draw.random() < 0.02:  # the same token once more, where its session has ended
+        if (
+            plays and ended == "left" and draw.random() < 0.02
+        ):  # the same token once more, where its session has ended
             status, reason, _, _ = await self.once(broker, token, viewer, seat, False, met, epoch)
             met[f"replay-{status}"] += 1
         told = ",".join(f"{name}:{times}" for name, times in sorted(met.items())) or "-"
         self.sink.write(f"{seat} {plays} {took_ms:.1f} {told}\n")
 
-    async def once(self, broker: Broker, token: str, viewer: str, seat: str, again: bool,
-                   met: Counter[str], epoch: int) -> tuple[int, str, int, str]:
+    async def once(
+        self, broker: Broker, token: str, viewer: str, seat: str, again: bool, met: Counter[str], epoch: int
+    ) -> tuple[int, str, int, str]:
         """One session: its answer, and how it ended where it played."""
         draw, session = self.draw, self.session()
         path = f"home:{draw.randrange(self.job['nodes'])};copies:3;top:2;viewer:{viewer}{';again:1' if again else ''}"
-        headers = {"P-Kind": "exam", "P-Time-Left": str(LEFT_MS), "P-Path": path, "X-Length": "20000.0",
-                   "P-Billed": "law"}
+        headers = {
+            "P-Kind": "exam",
+            "P-Time-Left": str(LEFT_MS),
+            "P-Path": path,
+            "X-Length": "20000.0",
+            "P-Billed": "law",
+        }
         if draw.random() < self.job["http"]:
             return await self.over_http(broker, session, headers, token, f"seat={seat}")
         headers["P-Token"] = token
@@ -134,32 +143,44 @@
         leaves = draw.random() < 0.003
         if leaves:  # this viewer's own connection is cut with its set-up open
             try:
-                _, connection = await asyncio.get_running_loop().create_connection(Rtsp, "127.0.0.1", broker.port)
+                _, connection = await asyncio.get_running_loop().create_connection(
+                    Rtsp, "127.0.0.1", broker.port
+                )
             except OSError:
                 return (*LOST, "")
             asyncio.get_running_loop().call_later(draw.uniform(0.0, 0.03), connection.transport.abort)
         over = asyncio.Event()
         connection.cut[session] = over.set
         try:
-            status, reason, gap_ms = await connection.ask("SETUP", "1", session, headers, f"seat={seat}", "aa00")
+            status, reason, gap_ms = await connection.ask(
+                "SETUP", "1", session, headers, f"seat={seat}", "aa00"
+            )
             if status != 200:
                 return status, reason, gap_ms, ""
             if draw.random() < 0.05:
                 newer = self.token(seat, viewer, epoch + 1, int(time.time()))
                 for turn in range(1 + (draw.random() < 0.2)):
-                    renewed, why, _ = await connection.ask("SET_PARAMETER", str(7 + turn), session, {"P-Token": newer})
+                    renewed, why, _ = await connection.ask(
+                        "SET_PARAMETER", str(7 + turn), session, {"P-Token": newer}
+                    )
                     met["renewed" if renewed == 200 else f"renewal-{why.replace(' ', '-')}"] += 1
             try:
                 await asyncio.wait_for(over.wait(), draw.uniform(0.1, 1.0))
                 return 200, "", 0, "cut"
             except TimeoutError:
                 status, _, _ = await connection.ask("TEARDOWN", "2", session, {})
-                return 200, "", 0, "left" if status == 200 else "lost"  # lost with its broker, who may not know of it
+                return (
+                    200,
+                    "",
+                    0,
+                    "left" if status == 200 else "lost",
+                )  # lost with its broker, who may not know of it
         finally:
             connection.cut.pop(session, None)
 
-    async def over_http(self, broker: Broker, session: str, headers: dict[str, str], token: str,
-                        body: str) -> tuple[int, str, int, str]:
+    async def over_http(
+        self, broker: Broker, session: str, headers: dict[str, str], token: str, body: str
+    ) -> tuple[int, str, int, str]:
         headers = {**headers, "Session": session, "Authorization": f"Bearer {token}"}
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", broker.http)
@@ -180,11 +201,23 @@
             writer.close()
 
 
-async def http(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, method: str, path: str,
-               headers: dict[str, str], body: str) -> Answer:
+async def http(
+    reader: asyncio.StreamReader,
+    writer: asyncio.StreamWriter,
+    method: str,
+    path: str,
+    headers: dict[str, str],
+    body: str,
+) -> Answer:
     """One request on a connection that stays open."""
-    lines = [f"{method} {path} HTTP/1.1", "Host: broker", *(f"{name}: {value}" for name, value in headers.items()),
-             f"Content-Length: {len(body)}", "", body]
+    lines = [
+        f"{method} {path} HTTP/1.1",
+        "Host: broker",
+        *(f"{name}: {value}" for name, value in headers.items()),
+        f"Content-Length: {len(body)}",
+        "",
+        body,
+    ]
     writer.write("\r\n".join(lines).encode("ascii"))
     head = (await reader.readuntil(b"\r\n\r\n")).decode("ascii").split("\r\n")
     told = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:])}
--- a/lotuspick/membership/guide.py
+++ b/lotuspick/membership/guide.py
@@ -18,11 +18,14 @@
 
     wait_us = 0
 
-    def __init__(self, standings: Standings, paid: frozenset[str], clock: Callable[[], int],
-                 gap_us: int = GAP_US) -> None:
+    def __init__(
+        self, standings: Standings, paid: frozenset[str], clock: Callable[[], int], gap_us: int = GAP_US
+    ) -> None:
         self.standings, self.paid, self.clock, self.gap_us = standings, paid, clock, gap_us
         self.turned_away: Counter[Standing] = Counter()
-        self._away = {standing: Bounds(reason=f"fleet-{standing.name.lower()}", gap_us=gap_us) for standing in Standing}
+        self._away = {
+            standing: Bounds(reason=f"fleet-{standing.name.lower()}", gap_us=gap_us) for standing in Standing
+        }
 
     def bounds(self, now: int, request: SessionRequest) -> Bounds:
         """See :class:`lotuspick.interface.Guide`."""
--- a/lotuspick/membership/members.py
+++ b/lotuspick/membership/members.py
@@ -146,12 +146,16 @@
 
     def alive(self) -> list[Record]:
         """Those who are believed to be there, this broker included, by name."""
-        return sorted((each for each in self.records.values() if each.state is State.ALIVE), key=lambda each: each.name)
+        return sorted(
+            (each for each in self.records.values() if each.state is State.ALIVE), key=lambda each: each.name
+        )
 
     def reached(self) -> list[Record]:
         """Those with whom this broker hears and is heard, as far as it knows: itself, and not who is accused, nor who
         accuses it. One that is cut off declares nobody dead where it is alone to say so, but it reaches nobody."""
-        return [each for each in self.alive() if each.name not in self._doubts and each.name not in self._deaf]
+        return [
+            each for each in self.alive() if each.name not in self._doubts and each.name not in self._deaf
+        ]
 
     def accused(self) -> dict[str, tuple[str, ...]]:
         """Who is accused at present, and by whom."""
@@ -176,8 +180,19 @@
     def _begin(self, begin: Begin) -> None:
         self.seeds = tuple(each for each in begin.seeds if each != begin.address)
         self.joined = not self.seeds
-        self.own = checked(Record(begin.name, self._life, self._random.getrandbits(63), 0, State.ALIVE, begin.address,
-                                  begin.zone, begin.version, begin.offers))
+        self.own = checked(
+            Record(
+                begin.name,
+                self._life,
+                self._random.getrandbits(63),
+                0,
+                State.ALIVE,
+                begin.address,
+                begin.zone,
+                begin.version,
+                begin.offers,
+            )
+        )
         self._out.append(Write(LIFE, b"%d" % self._life))  # before any message that claims this life
         self._period_us = self._synced_us = self._now
         self._take(self.own, begin.name, "start")
@@ -192,7 +207,9 @@
     def _leave(self) -> None:
         if self.own is None or self.left:
             return
-        self._gone(msgspec.structs.replace(self.own, state=State.LEFT, turn=self.own.turn + 1), self.own.name, "left")
+        self._gone(
+            msgspec.structs.replace(self.own, state=State.LEFT, turn=self.own.turn + 1), self.own.name, "left"
+        )
 
     def _gone(self, gone: Record, by: str, why: str) -> None:
         """This broker is out of the fleet: the last that it says."""
@@ -244,7 +261,10 @@
             self.false_accusations += record.state is State.ALIVE
         self._tell_others(record)
         if before is None or (before.process, before.state, before.address) != (
-                record.process, record.state, record.address):
+            record.process,
+            record.state,
+            record.address,
+        ):
             self._out.append(Tell(Changed(record, by, why)))
             self._stale = True
         if record.state is not State.ALIVE:
@@ -263,7 +283,9 @@
                 self.own = msgspec.structs.replace(own, turn=record.turn + 1)
                 self._take(self.own, own.name, "refuted")
         elif record.state is not State.ALIVE or record.address == own.address:
-            self._rise(record)  # an earlier self that nobody told of on joining: dead, or where this one is now
+            self._rise(
+                record
+            )  # an earlier self that nobody told of on joining: dead, or where this one is now
         else:
             self.displaced = True
             self.records[record.name] = record
@@ -273,7 +295,7 @@
         gone = [each for each in self.records.values() if each.state is not State.ALIVE]
         old = [each for each in gone if self._now - self.since[each.name] > self.rules.forget_us]
         if len(gone) - len(old) > self.rules.graveyard:
-            old = sorted(gone, key=lambda each: self.since[each.name])[:len(gone) - self.rules.graveyard]
+            old = sorted(gone, key=lambda each: self.since[each.name])[: len(gone) - self.rules.graveyard]
         for each in old:
             del self.records[each.name], self.since[each.name], self.because[each.name]
 
@@ -281,10 +303,15 @@
         """Draw the rings anew, once a period at most: in a large fleet many come and go together."""
         self._stale = False
         names = [each.name for each in self.alive()]
-        self._places = {name: self._places.get(name) or tuple(
-            xxh3_64_intdigest(name.encode(), seed=ring) for ring in range(self.rules.watchers)) for name in names}
-        self._rings = [sorted(names, key=lambda name: (self._places[name][ring], name))
-                       for ring in range(self.rules.watchers)]
+        self._places = {
+            name: self._places.get(name)
+            or tuple(xxh3_64_intdigest(name.encode(), seed=ring) for ring in range(self.rules.watchers))
+            for name in names
+        }
+        self._rings = [
+            sorted(names, key=lambda name: (self._places[name][ring], name))
+            for ring in range(self.rules.watchers)
+        ]
         self._look()
 
     def _look(self) -> None:
@@ -340,8 +367,11 @@
             self._number += 1
             self._send(self.records[name].address, Ping(self._number, self._news(name)))
         if self._now - self._heard[name] >= self.rules.silent_us // 2:
-            others = [each.address for each in self.alive()
-                      if each.name not in (name, self._own_name) and each.name not in self._doubts]
+            others = [
+                each.address
+                for each in self.alive()
+                if each.name not in (name, self._own_name) and each.name not in self._doubts
+            ]
             for address in self._random.sample(others, min(HELPERS * (1 + accused), len(others))):
                 self._send(address, Relay(self._number, name, self._news()))
 
@@ -362,7 +392,11 @@
     def _doubted(self, said: Accusation) -> None:
         """Take an accusation, if it is of what is believed now."""
         of = self.records.get(said.name)
-        if of is None or of.state is not State.ALIVE or (of.life, of.run, of.turn) != (said.life, said.run, said.turn):
+        if (
+            of is None
+            or of.state is not State.ALIVE
+            or (of.life, of.run, of.turn) != (said.life, said.run, said.turn)
+        ):
             return
         if said.by not in self.records:
             return  # nobody knows who says so: it bounds what is kept, too
@@ -386,7 +420,9 @@
         """Who has been accused for long enough by enough of its watchers is dead; an accusation that is not renewed is
         dropped."""
         rules = self.rules
-        self._deaf = {by: at_us for by, at_us in self._deaf.items() if self._now - at_us <= 2 * rules.silent_us}
+        self._deaf = {
+            by: at_us for by, at_us in self._deaf.items() if self._now - at_us <= 2 * rules.silent_us
+        }
         for name, doubt in list(self._doubts.items()):
             for by in [by for by, at_us in doubt.by.items() if self._now - at_us > 2 * rules.silent_us]:
                 del doubt.by[by]
@@ -396,7 +432,8 @@
             elif self._now - self._accused.get(name, self._now) >= rules.doubt_us:
                 watchers = self._watchers(name)
                 if len(doubt.by.keys() & watchers | doubt.by.keys() & {self._own_name}) >= min(
-                        rules.quorum, max(1, len(watchers))):
+                    rules.quorum, max(1, len(watchers))
+                ):
                     record = msgspec.structs.replace(self.records[name], state=State.DEAD)
                     self._take(record, self._own_name, "silent, say " + " ".join(sorted(doubt.by)))
 
@@ -410,7 +447,9 @@
         dead = {each.address for each in self.records.values() if each.state is State.DEAD}
         for among in (live, sorted((dead | set(self.seeds)) - here)):
             if among:
-                self._send(self._random.choice(among), Digest(self._digest()))  # the next makes a lost one good
+                self._send(
+                    self._random.choice(among), Digest(self._digest())
+                )  # the next makes a lost one good
 
     # ---- messages -----------------------------------------------------------------------------------------
 
@@ -477,7 +516,9 @@
 
     def _digest(self) -> int:
         """Of the living alone: of the dead each forgets some in its own time."""
-        return xxh3_64_intdigest(repr([(each.name, each.life, each.run, each.turn) for each in self.alive()]).encode())
+        return xxh3_64_intdigest(
+            repr([(each.name, each.life, each.run, each.turn) for each in self.alive()]).encode()
+        )
 
     def _tell_others(self, news: News) -> None:
         key = (news.name, news.by if isinstance(news, Accusation) else "")
--- a/lotuspick/membership/model.py
+++ b/lotuspick/membership/model.py
@@ -139,13 +139,28 @@
     """They are kept so long."""
 
     def __post_init__(self) -> None:
-        for name in ("period_us", "watchers", "quorum", "sync_us", "piggyback", "spread", "graveyard", "forget_us"):
+        for name in (
+            "period_us",
+            "watchers",
+            "quorum",
+            "sync_us",
+            "piggyback",
+            "spread",
+            "graveyard",
+            "forget_us",
+        ):
             if not isinstance(getattr(self, name), int) or getattr(self, name) < 1:
-                raise MembershipFault(f"{name} must be a whole number of 1 or more, not {getattr(self, name)!r}")
+                raise MembershipFault(
+                    f"{name} must be a whole number of 1 or more, not {getattr(self, name)!r}"
+                )
         if self.silent_us < 2 * self.period_us:
-            raise MembershipFault(f"silent_us must be two periods or more, not {self.silent_us}: pings are lost singly")
+            raise MembershipFault(
+                f"silent_us must be two periods or more, not {self.silent_us}: pings are lost singly"
+            )
         if self.doubt_us < 2 * self.period_us:
-            raise MembershipFault(f"doubt_us must be two periods or more, not {self.doubt_us}: the accused are heard")
+            raise MembershipFault(
+                f"doubt_us must be two periods or more, not {self.doubt_us}: the accused are heard"
+            )
         if self.quorum > self.watchers:
             raise MembershipFault(f"quorum must be at most watchers, {self.watchers}, not {self.quorum}")
 
@@ -175,8 +190,13 @@
 
 def checked(record: Record) -> Record:
     """Raises :class:`MembershipFault` for a record that no broker would send."""
-    for key, text in (("name", record.name), ("address", record.address), ("zone", record.zone),
-                      ("version", record.version), *(("offers", each) for each in record.offers)):
+    for key, text in (
+        ("name", record.name),
+        ("address", record.address),
+        ("zone", record.zone),
+        ("version", record.version),
+        *(("offers", each) for each in record.offers),
+    ):
         if len(text) > MOST_TEXT or not text.isprintable() or key == "name" and not text:
             raise MembershipFault(f"{key} must be 1 to {MOST_TEXT} printable characters, not {text[:40]!r}")
     if len(record.offers) > MOST_OFFERS or min(record.life, record.run, record.turn) < 0:
--- a/lotuspick/membership/standing.py
+++ b/lotuspick/membership/standing.py
@@ -68,12 +68,16 @@
             raise MembershipFault(f"fresh_us must be 1 or more, not {self.fresh_us!r}")
         for name, what in self.allowed.items():
             if name.upper() not in Standing.__members__:
-                raise MembershipFault(f"allowed.{name}: a standing is one of "
-                                      + ", ".join(each.name.lower() for each in Standing))
+                raise MembershipFault(
+                    f"allowed.{name}: a standing is one of "
+                    + ", ".join(each.name.lower() for each in Standing)
+                )
             if PLAIN not in what:
                 raise MembershipFault(f"allowed.{name}: plain sessions never wait for other brokers")
             if more := set(what) - TABLE[Standing[name.upper()]]:
-                raise MembershipFault(f"allowed.{name}: {', '.join(sorted(more))} would let two brokers act at once")
+                raise MembershipFault(
+                    f"allowed.{name}: {', '.join(sorted(more))} would let two brokers act at once"
+                )
 
 
 class Standings:
--- a/lotuspick/news.py
+++ b/lotuspick/news.py
@@ -24,7 +24,9 @@
 
     def __init__(self) -> None:
         self.waiting: deque[News] = deque(maxlen=WAITING)
-        self.said: dict[tuple[str, str], tuple[int, int]] = {}  # last line on a matter, and those left out since
+        self.said: dict[
+            tuple[str, str], tuple[int, int]
+        ] = {}  # last line on a matter, and those left out since
 
     def say(self, now: int, what: str, matter: str, **fields: str | int | float) -> None:
         """One line at clock time ``now`` (us), unless the matter had one of late."""
--- a/lotuspick/plugin.py
+++ b/lotuspick/plugin.py
@@ -154,11 +154,25 @@
 class Plugin:
     """One client's decisions. Sessions are named by the caller; a name is not used again."""
 
-    def __init__(self, settings: Settings, seed: int, calls: Calls, clock: Callable[[], int] = unix_us,
-                 period_us: int = PERIOD_US, guide: Guide | None = None) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        calls: Calls,
+        clock: Callable[[], int] = unix_us,
+        period_us: int = PERIOD_US,
+        guide: Guide | None = None,
+    ) -> None:
         self.clock = clock
-        self.loop = Loop(Controller(settings, seed, guide), _Edges(calls), clock, self._wake, period_us,
-                         frozenset(each.name for each in settings.classes), stay_away_ms(settings))
+        self.loop = Loop(
+            Controller(settings, seed, guide),
+            _Edges(calls),
+            clock,
+            self._wake,
+            period_us,
+            frozenset(each.name for each in settings.classes),
+            stay_away_ms(settings),
+        )
         self._due_us: int | None = None
         self._changed = threading.Condition()
         self._closed = False
@@ -181,8 +195,9 @@
         """The call has an answer: the session stands."""
         self.post(EdgeAnswered(server, session, payload))
 
-    def ended(self, server: str, session: str, ending: Ending,
-              report: Mapping[str, float] | None = None) -> None:
+    def ended(
+        self, server: str, session: str, ending: Ending, report: Mapping[str, float] | None = None
+    ) -> None:
         """A call ended without an answer, or a session that stood is over."""
         self.post(EdgeReleased(server, session, ending, ending, report or {}))
 
--- a/lotuspick/program/cells.py
+++ b/lotuspick/program/cells.py
@@ -24,10 +24,15 @@
 from lotuspick.interface import ServerList
 from lotuspick.program import config
 
-app = typer.Typer(help="Tenants and lessons confined to parts of the fleet.", no_args_is_help=True,
-                  pretty_exceptions_enable=False)
+app = typer.Typer(
+    help="Tenants and lessons confined to parts of the fleet.",
+    no_args_is_help=True,
+    pretty_exceptions_enable=False,
+)
 CellsFile = Annotated[Path, typer.Option("--cells", help="The file of cells.")]
-ConfigFile = Annotated[Path | None, typer.Option("--config", help="The broker's file, for nodes; else PROXY_CONFIG.")]
+ConfigFile = Annotated[
+    Path | None, typer.Option("--config", help="The broker's file, for nodes; else PROXY_CONFIG.")
+]
 At = Annotated[str, typer.Option(help="As of this time, such as 2026-12-01T18:00:00Z; else now.")]
 
 
@@ -77,14 +82,20 @@
 
 
 @app.command()
-def check(path: CellsFile = config.DEFAULT_CELLS, nodes: ConfigFile = None,
-          tenants: Annotated[int, typer.Option(help="Tenants beside the named ones to reckon with.", min=0)] = 1_000,
-          ) -> None:
+def check(
+    path: CellsFile = config.DEFAULT_CELLS,
+    nodes: ConfigFile = None,
+    tenants: Annotated[
+        int, typer.Option(help="Tenants beside the named ones to reckon with.", min=0)
+    ] = 1_000,
+) -> None:
     """Check the file, and say what one tenant can touch; exit 1 where a cell is empty or too small."""
     plan = _plan(path)
     atlas, known = _atlas(plan, nodes)
-    typer.echo(f"{path}: epoch {plan.epoch}, {len(plan.cells)} cells, {len(plan.rules)} rules, "
-               f"{len(plan.moves)} moves")
+    typer.echo(
+        f"{path}: epoch {plan.epoch}, {len(plan.cells)} cells, {len(plan.rules)} rules, "
+        f"{len(plan.moves)} moves"
+    )
     if not known:
         typer.echo("no nodes are known: sizes and reach need --config or PROXY_CONFIG")
         return
@@ -97,13 +108,19 @@
     small = atlas.small()
     for name, count in small.items():
         cell = plan.cells[name]
-        typer.echo(f"{'EMPTY' if not count else 'too small'}: {name} has {count} nodes, lessons want "
-                   f"{cell.holders}; policy {cell.small}")
+        typer.echo(
+            f"{'EMPTY' if not count else 'too small'}: {name} has {count} nodes, lessons want "
+            f"{cell.holders}; policy {cell.small}"
+        )
     found = exposure(atlas, _names(plan, tenants) or ["unnamed-0"])
-    typer.echo(f"one tenant touches at most {found.most} of {found.nodes} nodes ({found.widest}), {found.mean:.1f} on "
-               f"average, {found.mean_at_most:.1f} with spilling and widening")
-    typer.echo(f"of {found.tenants} tenants {found.alone} share all of their nodes with nobody; at most "
-               f"{found.together} share all of them; two drawn at random share {found.overlap:.1%} of their nodes")
+    typer.echo(
+        f"one tenant touches at most {found.most} of {found.nodes} nodes ({found.widest}), {found.mean:.1f} on "
+        f"average, {found.mean_at_most:.1f} with spilling and widening"
+    )
+    typer.echo(
+        f"of {found.tenants} tenants {found.alone} share all of their nodes with nobody; at most "
+        f"{found.together} share all of them; two drawn at random share {found.overlap:.1%} of their nodes"
+    )
     if small:
         raise typer.Exit(1)
 
@@ -116,59 +133,86 @@
     table = Table("cell", "nodes", "weight", "policy", "named tenants", title=f"epoch {plan.epoch}")
     for name, cell in plan.cells.items():
         here = [tenant for tenant in sorted(plan.named) if atlas.base(tenant, "")[0] == name]
-        table.add_row(name, str(len(atlas.nodes[name])) if known else "?", f"{cell.weight:g}",
-                      f"{cell.small} {','.join(cell.spill)}".strip(),
-                      ", ".join(here[:6]) + (" ..." if here[6:] else ""))
+        table.add_row(
+            name,
+            str(len(atlas.nodes[name])) if known else "?",
+            f"{cell.weight:g}",
+            f"{cell.small} {','.join(cell.spill)}".strip(),
+            ", ".join(here[:6]) + (" ..." if here[6:] else ""),
+        )
     console = Console(width=120, highlight=False)
     console.print(table)
     if plan.moves:
         table = Table("tenant", "epoch", "from", "to", "stage", "taken over", title="moves")
         for move in plan.moves:
-            table.add_row(move.tenant, str(move.epoch), atlas.base(move.tenant, "")[0], move.to,
-                          moves.stage(move, now).value, f"{moves.share(move, now):.0%}")
+            table.add_row(
+                move.tenant,
+                str(move.epoch),
+                atlas.base(move.tenant, "")[0],
+                move.to,
+                moves.stage(move, now).value,
+                f"{moves.share(move, now):.0%}",
+            )
         console.print(table)
 
 
 @app.command()
-def explain(tenant: str, lesson: str, path: CellsFile = config.DEFAULT_CELLS, nodes: ConfigFile = None,
-            home: Annotated[int, typer.Option(help="The lesson's first position.", min=0)] = 0,
-            copies: Annotated[int, typer.Option(help="Positions that it lies on; 0: not told.", min=0)] = 0,
-            viewer: Annotated[str, typer.Option(help="A viewer, where the tenant moves.")] = "", at: At = "") -> None:
+def explain(
+    tenant: str,
+    lesson: str,
+    path: CellsFile = config.DEFAULT_CELLS,
+    nodes: ConfigFile = None,
+    home: Annotated[int, typer.Option(help="The lesson's first position.", min=0)] = 0,
+    copies: Annotated[int, typer.Option(help="Positions that it lies on; 0: not told.", min=0)] = 0,
+    viewer: Annotated[str, typer.Option(help="A viewer, where the tenant moves.")] = "",
+    at: At = "",
+) -> None:
     """Say where a tenant's lesson plays, step by step."""
     plan, now = _plan(path), _when(at)
     atlas, known = _atlas(plan, nodes)
     base, weight = atlas.base(tenant, lesson)
     typer.echo(f"cell: {base}" + (f", weight {weight:g}" if weight else ""))
     for move in atlas.moves.get(tenant, ()):
-        typer.echo(f"move {move.epoch} to {move.to}: {moves.stage(move, now).value}, "
-                   f"{moves.share(move, now):.0%} of its viewers")
+        typer.echo(
+            f"move {move.epoch} to {move.to}: {moves.stage(move, now).value}, "
+            f"{moves.share(move, now):.0%} of its viewers"
+        )
     cell = atlas.home(tenant, lesson, viewer, False, now)
     if atlas.moves.get(tenant):
         typer.echo(f"viewer {viewer!r}: {cell}")
     if not known:
         return
     own, most = reach(atlas, tenant)
-    typer.echo(f"nodes of the tenant: {' '.join(sorted(own)) or 'none'}; at most {len(most)} of "
-               f"{len(atlas.entries)} with spilling and widening")
+    typer.echo(
+        f"nodes of the tenant: {' '.join(sorted(own)) or 'none'}; at most {len(most)} of "
+        f"{len(atlas.entries)} with spilling and widening"
+    )
     if copies:
         room = atlas.room(cell, tenant, home, copies)
         typer.echo(f"holders there: {' '.join(sorted(room.own)) or 'none'}")
         if room.short:
             there = plan.cells[cell]
-            typer.echo(f"too small for the lesson (wants {there.holders}): {there.small}, elsewhere "
-                       f"{' '.join(sorted(room.spilled if there.small == 'spill' else room.elsewhere)) or 'none'}")
+            typer.echo(
+                f"too small for the lesson (wants {there.holders}): {there.small}, elsewhere "
+                f"{' '.join(sorted(room.spilled if there.small == 'spill' else room.elsewhere)) or 'none'}"
+            )
 
 
 @app.command()
-def move(tenant: str, to: Annotated[str, typer.Argument(help="The cell to move to.")] = "",
-         path: CellsFile = config.DEFAULT_CELLS,
-         start: Annotated[str, typer.Option(help="When it starts; else in 10 s, for all brokers to hear of it.")] = "",
-         prepare: Annotated[float, typer.Option(help="Seconds before the first viewer goes over.")] = 30.0,
-         shift: Annotated[float, typer.Option(help="Seconds over which viewers go over.")] = 120.0,
-         drain: Annotated[float, typer.Option(help="Seconds for which standing sessions count in both.")] = 600.0,
-         pause: Annotated[bool, typer.Option("--pause", help="Let the shift stand still.")] = False,
-         resume: Annotated[bool, typer.Option("--resume", help="Let it go on.")] = False,
-         back: Annotated[bool, typer.Option("--back", help="Take its viewers back at the same pace.")] = False) -> None:
+def move(
+    tenant: str,
+    to: Annotated[str, typer.Argument(help="The cell to move to.")] = "",
+    path: CellsFile = config.DEFAULT_CELLS,
+    start: Annotated[
+        str, typer.Option(help="When it starts; else in 10 s, for all brokers to hear of it.")
+    ] = "",
+    prepare: Annotated[float, typer.Option(help="Seconds before the first viewer goes over.")] = 30.0,
+    shift: Annotated[float, typer.Option(help="Seconds over which viewers go over.")] = 120.0,
+    drain: Annotated[float, typer.Option(help="Seconds for which standing sessions count in both.")] = 600.0,
+    pause: Annotated[bool, typer.Option("--pause", help="Let the shift stand still.")] = False,
+    resume: Annotated[bool, typer.Option("--resume", help="Let it go on.")] = False,
+    back: Annotated[bool, typer.Option("--back", help="Take its viewers back at the same pace.")] = False,
+) -> None:
     """Declare a tenant's move, or pause, resume or roll back its last one. Writes the file with the next epoch;
     brokers take it over at SIGHUP."""
     if bool(to) + pause + resume + back != 1:
@@ -181,8 +225,17 @@
     if to:
         begin = datetime.fromisoformat(start) if start else now + timedelta(seconds=10)
         entry = tomlkit.table()
-        entry.update({"tenant": tenant, "to": to, "epoch": max((each["epoch"] for each in own), default=0) + 1,
-                      "start": begin, "prepare_s": prepare, "shift_s": shift, "drain_s": drain})
+        entry.update(
+            {
+                "tenant": tenant,
+                "to": to,
+                "epoch": max((each["epoch"] for each in own), default=0) + 1,
+                "start": begin,
+                "prepare_s": prepare,
+                "shift_s": shift,
+                "drain_s": drain,
+            }
+        )
         listed.append(entry)
     else:
         _change(own, plan, tenant, now, pause, resume)
@@ -196,8 +249,10 @@
     beside.write_text(text, encoding="utf-8")
     beside.replace(path)
     last = [each for each in made.moves if each.tenant == tenant][-1]
-    typer.echo(f"{path}: epoch {made.epoch}; move {last.epoch} of {tenant} to {last.to}: "
-               f"{moves.stage(last, int(now.timestamp() * SECOND)).value}; send SIGHUP to the brokers")
+    typer.echo(
+        f"{path}: epoch {made.epoch}; move {last.epoch} of {tenant} to {last.to}: "
+        f"{moves.stage(last, int(now.timestamp() * SECOND)).value}; send SIGHUP to the brokers"
+    )
 
 
 def _change(own: list[Any], plan: Plan, tenant: str, now: datetime, pause: bool, resume: bool) -> None:
--- a/lotuspick/program/cli.py
+++ b/lotuspick/program/cli.py
@@ -14,8 +14,12 @@
 from lotuspick.program.serve import Files
 from lotuspick.program.serve import serve as serve_viewers
 
-app = typer.Typer(help="lotuspick: a playback broker.", no_args_is_help=True, add_completion=False,
-                  pretty_exceptions_enable=False)
+app = typer.Typer(
+    help="lotuspick: a playback broker.",
+    no_args_is_help=True,
+    add_completion=False,
+    pretty_exceptions_enable=False,
+)
 
 ConfigOption = Annotated[Path | None, typer.Option("--config", help="The broker's file; else PROXY_CONFIG.")]
 HintsOption = Annotated[Path | None, typer.Option("--hints", help="The second front's file.")]
@@ -27,9 +31,15 @@
 
 
 @app.command()
-def serve(path: ConfigOption = None, hints: HintsOption = None, tenants: TenantsOption = None,
-          cells: CellsOption = None, seats: SeatsOption = None, peers: PeersOption = None,
-          log_level: Annotated[str, typer.Option(help=" | ".join(logs.LEVELS))] = "info") -> None:
+def serve(
+    path: ConfigOption = None,
+    hints: HintsOption = None,
+    tenants: TenantsOption = None,
+    cells: CellsOption = None,
+    seats: SeatsOption = None,
+    peers: PeersOption = None,
+    log_level: Annotated[str, typer.Option(help=" | ".join(logs.LEVELS))] = "info",
+) -> None:
     """Serve viewers until SIGTERM."""
     if log_level not in logs.LEVELS:
         raise typer.BadParameter(f"must be one of {', '.join(logs.LEVELS)}", param_hint="--log-level")
@@ -45,22 +55,29 @@
 
 
 @app.command("check-config")
-def check_config(path: ConfigOption = None, hints: HintsOption = None,
-                 tenants: TenantsOption = None, cells: CellsOption = None, seats: SeatsOption = None,
-                 peers: PeersOption = None) -> None:
+def check_config(
+    path: ConfigOption = None,
+    hints: HintsOption = None,
+    tenants: TenantsOption = None,
+    cells: CellsOption = None,
+    seats: SeatsOption = None,
+    peers: PeersOption = None,
+) -> None:
     """Read and check the configuration, and say what was understood."""
     try:
         loaded = Files(path, hints, tenants, cells, seats, peers).load()
     except ConfigError as error:
         raise _unusable(error) from None
     front = f"{loaded.hints.host}:{loaded.hints.port}" if loaded.hints.enabled else "off"
-    typer.echo(f"{loaded.name}: listens on {loaded.listen[0]}:{loaded.listen[1]}, "
-               f"{sum(len(change.news.servers) for change in loaded.changes)} servers known, "
-               f"classes {', '.join(each.name for each in loaded.settings.classes)}, hints front {front}, "
-               f"tenants {loaded.tenants.ldap.url if loaded.tenants.ldap else 'none'}, "
-               f"cells {len(loaded.cells.cells) if loaded.cells else 'none'}, "
-               f"seats {', '.join(sorted(loaded.seats.rules.classes)) if loaded.seats else 'none'}, "
-               f"peers {f'{loaded.peers.standing.brokers} at {loaded.peers.listen[0]}' if loaded.peers else 'none'}")
+    typer.echo(
+        f"{loaded.name}: listens on {loaded.listen[0]}:{loaded.listen[1]}, "
+        f"{sum(len(change.news.servers) for change in loaded.changes)} servers known, "
+        f"classes {', '.join(each.name for each in loaded.settings.classes)}, hints front {front}, "
+        f"tenants {loaded.tenants.ldap.url if loaded.tenants.ldap else 'none'}, "
+        f"cells {len(loaded.cells.cells) if loaded.cells else 'none'}, "
+        f"seats {', '.join(sorted(loaded.seats.rules.classes)) if loaded.seats else 'none'}, "
+        f"peers {f'{loaded.peers.standing.brokers} at {loaded.peers.listen[0]}' if loaded.peers else 'none'}"
+    )
 
 
 def _later(name: str, module: str, missing: str) -> None:
@@ -74,13 +91,18 @@
             raise typer.Exit(2) from None
         commands.app(args=context.args, prog_name=f"lotuspick {name}")
 
-    help_ = {"cells": "Tenants and lessons confined to parts of the fleet: check, show, explain, move.",
-             "keys": "Keys that sign and check tokens: make, list, withdraw.",
-             "seats": "Seats that are paid for: issue, show, renew, revoke, settle.",
-             "members": "The brokers of a fleet: show, explain, drain.",
-             "lab": "Experiments on the project's own model of the world: list, verify, run."}
-    app.command(name, help=help_[name], context_settings={
-        "allow_extra_args": True, "ignore_unknown_options": True, "help_option_names": []})(call)
+    help_ = {
+        "cells": "Tenants and lessons confined to parts of the fleet: check, show, explain, move.",
+        "keys": "Keys that sign and check tokens: make, list, withdraw.",
+        "seats": "Seats that are paid for: issue, show, renew, revoke, settle.",
+        "members": "The brokers of a fleet: show, explain, drain.",
+        "lab": "Experiments on the project's own model of the world: list, verify, run.",
+    }
+    app.command(
+        name,
+        help=help_[name],
+        context_settings={"allow_extra_args": True, "ignore_unknown_options": True, "help_option_names": []},
+    )(call)
 
 
 _later("cells", "lotuspick.program.cells", "a library is missing")
