--- a/lotuspick/program/config.py
+++ b/lotuspick/program/config.py
@@ -130,9 +130,15 @@
     """None: this broker talks to no other."""
 
 
-def load(environment: Mapping[str, str], path: Path | None = None, hints: Path | None = None,
-         tenants: Path | None = None, cells: Path | None = None, seats: Path | None = None,
-         peers: Path | None = None) -> Config:
+def load(
+    environment: Mapping[str, str],
+    path: Path | None = None,
+    hints: Path | None = None,
+    tenants: Path | None = None,
+    cells: Path | None = None,
+    seats: Path | None = None,
+    peers: Path | None = None,
+) -> Config:
     """Read all of it: the file at ``path``, or that of ``PROXY_CONFIG``; the environment wins over both."""
     named = str(path or environment.get("PROXY_CONFIG", ""))
     if not named:
@@ -155,9 +161,14 @@
         raise ConfigError(f"{named}: {error}") from None
 
 
-def read(told: Mapping[str, Any], hints: HintsConfig | None = None,
-         tenants: TenantsConfig | None = None, cells: Plan | None = None, seats: Path | None = None,
-         peers: Path | None = None) -> Config:
+def read(
+    told: Mapping[str, Any],
+    hints: HintsConfig | None = None,
+    tenants: TenantsConfig | None = None,
+    cells: Plan | None = None,
+    seats: Path | None = None,
+    peers: Path | None = None,
+) -> Config:
     """Check the parsed object and give defaults."""
     settings = _get(told, "settings", dict)
     pairs = dict(flatten(settings))
@@ -172,8 +183,10 @@
         dial_us = whole(pairs, "Limits.DialTimeoutUs", DEFAULT_DIAL_US)
         idle_us = whole(pairs, "Limits.ConnIdleUs", DEFAULT_IDLE_US)
         tell_us, seen_us = whole(pairs, "FamilyInfo.TellUs", 0), whole(pairs, "FamilyInfo.SeenAfterUs", 0)
-        deadlines = [whole(pairs, f"Categories.{index}.HardLimitUs", LONGEST_US)
-                     for index in range(whole(pairs, "Categories.count", 0))]
+        deadlines = [
+            whole(pairs, f"Categories.{index}.HardLimitUs", LONGEST_US)
+            for index in range(whole(pairs, "Categories.count", 0))
+        ]
         limits = _get(told, "limits", dict, {})
         known_settings = read_settings(pairs)
         return Config(
@@ -276,30 +289,63 @@
         for name in classes:
             if name not in paid:
                 raise ConfigError(f"classes: {name!r} is not a paid class of the settings")
-        figures = {key: _number(told, key, default, 1 if key == "store_mib" else 0) for key, default in numbers.items()}
-        places = {key: path.parent / _get(told, key, str) for key in ("keys", "store", "revoked", "proofs")
-                  if key in told or key in ("keys", "store")}
+        figures = {
+            key: _number(told, key, default, 1 if key == "store_mib" else 0)
+            for key, default in numbers.items()
+        }
+        places = {
+            key: path.parent / _get(told, key, str)
+            for key in ("keys", "store", "revoked", "proofs")
+            if key in told or key in ("keys", "store")
+        }
         gap_s = told.get("gap_s", 1.0)
         if isinstance(gap_s, bool) or not isinstance(gap_s, (int, float)) or not 0 <= gap_s <= 3_600:
             raise ConfigError(f"gap_s must be a number from 0 to 3600, not {str(gap_s)[:40]!r}")
         return SeatsConfig(
-            _get(told, "audience", str), places["keys"], places["store"], figures["store_mib"],
-            Rules(frozenset(classes), _get(told, "required", bool, True), float(gap_s),
-                  figures["keep_days"] * 86_400.0),
-            figures["skew_s"], figures["grace_s"], places.get("revoked"), places.get("proofs"))
+            _get(told, "audience", str),
+            places["keys"],
+            places["store"],
+            figures["store_mib"],
+            Rules(
+                frozenset(classes),
+                _get(told, "required", bool, True),
+                float(gap_s),
+                figures["keep_days"] * 86_400.0,
+            ),
+            figures["skew_s"],
+            figures["grace_s"],
+            places.get("revoked"),
+            places.get("proofs"),
+        )
     except ConfigError as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
 def read_peers(path: Path | None = None) -> PeersConfig | None:
     """The file of peers; without one, or with one that is not enabled, this broker talks to no other."""
-    keys = {"enabled", "listen", "seeds", "store", "control", "offers", "brokers", "gap_s", "via", "watch", "allowed"}
+    keys = {
+        "enabled",
+        "listen",
+        "seeds",
+        "store",
+        "control",
+        "offers",
+        "brokers",
+        "gap_s",
+        "via",
+        "watch",
+        "allowed",
+    }
     told = _toml(path, DEFAULT_PEERS, keys)
     path = path or DEFAULT_PEERS
     try:
         if not _get(told, "enabled", bool, False):
             return None
-        from lotuspick.membership.model import MOST_OFFERS, MOST_TEXT, MembershipFault  # loaded only where it is on
+        from lotuspick.membership.model import (
+            MOST_OFFERS,
+            MOST_TEXT,
+            MembershipFault,
+        )  # loaded only where it is on
         from lotuspick.membership.model import Rules as Watch
         from lotuspick.membership.standing import StandingRules
 
@@ -322,15 +368,26 @@
         times = {"period_ms": 300, "silent_ms": 700, "doubt_ms": 1_300, "settle_ms": 2_000}
         if unknown := sorted(set(watch) - set(times)):
             raise ConfigError(f"watch.{unknown[0]} is not a key of this file")
-        us = {key.replace("_ms", "_us"): _number(watch, f"watch.{key}", default, 1) * 1_000
-              for key, default in times.items()}
-        allowed = {name: _texts(_get(told, "allowed", dict), name) for name in _get(told, "allowed", dict, {})}
+        us = {
+            key.replace("_ms", "_us"): _number(watch, f"watch.{key}", default, 1) * 1_000
+            for key, default in times.items()
+        }
+        allowed = {
+            name: _texts(_get(told, "allowed", dict), name) for name in _get(told, "allowed", dict, {})
+        }
         settle_us = us.pop("settle_us")
         try:
             return PeersConfig(
-                listen, seeds, path.parent / _get(told, "store", str), Watch(**us),
-                StandingRules(brokers, settle_us, fresh_us=3 * us["period_us"], allowed=allowed), control, offers, via,
-                _number(told, "gap_s", 1, 0) * 1_000_000)
+                listen,
+                seeds,
+                path.parent / _get(told, "store", str),
+                Watch(**us),
+                StandingRules(brokers, settle_us, fresh_us=3 * us["period_us"], allowed=allowed),
+                control,
+                offers,
+                via,
+                _number(told, "gap_s", 1, 0) * 1_000_000,
+            )
         except MembershipFault as fault:
             raise ConfigError(str(fault).replace("_us must", "_ms must")) from None
     except ConfigError as error:
--- a/lotuspick/program/daemon.py
+++ b/lotuspick/program/daemon.py
@@ -42,21 +42,28 @@
         self.parts = assemble(self)
         self.renew = next((part.renew for part in self.parts if part.renew is not None), None)
         guides = [part.guide for part in self.parts if part.guide is not None]
-        self.module = Controller(config.settings, config.seed, guides[0] if len(guides) == 1 else Together(guides))
+        self.module = Controller(
+            config.settings, config.seed, guides[0] if len(guides) == 1 else Together(guides)
+        )
         limits = EdgeLimits(
-            dial_s=config.dial_us / SECOND, idle_s=config.idle_us / SECOND * IDLE_PART,
-            silence_s=config.silence_us / SECOND, per_connection=config.streams_per_connection,
-            connections=config.sockets // 4)
+            dial_s=config.dial_us / SECOND,
+            idle_s=config.idle_us / SECOND * IDLE_PART,
+            silence_s=config.silence_us / SECOND,
+            per_connection=config.streams_per_connection,
+            connections=config.sockets // 4,
+        )
         self.edges = EdgePool(reactor, limits, self.post, self.standing)
         edges: Edges = self.edges
         for part in self.parts:
             edges = part.edges(edges)
             reactor.addSystemEventTrigger("after", "shutdown", part.close)
         self.nodes = frozenset[str]().union(*(part.nodes for part in self.parts))
-        self.loop = Loop(self.module, edges, now_us, self._wake, config.period_us, classes,
-                         stay_away_ms(config.settings))
-        self.front = RtspFront(reactor, self.post, self.ready, self.terms, config.sockets // 2,
-                               self.loop.spare, self.renew)
+        self.loop = Loop(
+            self.module, edges, now_us, self._wake, config.period_us, classes, stay_away_ms(config.settings)
+        )
+        self.front = RtspFront(
+            reactor, self.post, self.ready, self.terms, config.sockets // 2, self.loop.spare, self.renew
+        )
         self.feed = Feed(reactor, config.coordinator_address, config.index, self._changed)
         self.stopping = False
         self.listener: Any = None
@@ -89,8 +96,14 @@
             self._tick(0)
         gc.collect()
         gc.freeze()  # what is here now stays: collections need not look at it
-        log.info("serving", extra={"broker": self.config.name, "listen": f"{host}:{port}",
-                                   "servers": len(self.module.servers)})
+        log.info(
+            "serving",
+            extra={
+                "broker": self.config.name,
+                "listen": f"{host}:{port}",
+                "servers": len(self.module.servers),
+            },
+        )
 
     def reload(self) -> None:
         """Read the configuration again and move to the coordinator named. Guards against a broker that
@@ -103,10 +116,19 @@
         self.feed.move(config.coordinator_address)
         for part in self.parts:
             self.config = part.reload(config, self.config)
-        taken = replace(self.config, coordinator_address=config.coordinator_address, index=config.index,
-                        changes=config.changes)
-        log.info("configuration read again", extra={"coordinator": config.coordinator_address,
-                                                    "rest": "same" if taken == config else "for a restart"})
+        taken = replace(
+            self.config,
+            coordinator_address=config.coordinator_address,
+            index=config.index,
+            changes=config.changes,
+        )
+        log.info(
+            "configuration read again",
+            extra={
+                "coordinator": config.coordinator_address,
+                "rest": "same" if taken == config else "for a restart",
+            },
+        )
 
     def stop(self) -> None:
         """A planned end: go on accepting and answering, and exit once nothing is owed. Guards against
@@ -137,8 +159,11 @@
 
     def _unread(self) -> bool:
         """Whether a connection or a message has come that was not looked at yet."""
-        return (self.front.unread() or readable(self.listener.fileno())
-                or any(part.unread() for part in self.parts))
+        return (
+            self.front.unread()
+            or readable(self.listener.fileno())
+            or any(part.unread() for part in self.parts)
+        )
 
     def _tick(self, told: int) -> None:
         """Have the parts do what is due, and log what they have to say, with a summary now and then."""
--- a/lotuspick/program/entitled.py
+++ b/lotuspick/program/entitled.py
@@ -34,9 +34,14 @@
     """One broker's seats. ``run`` has something done where the decisions are made, from any thread; ``post`` puts an
     item into the loop's inbox. Raises :class:`EntitlementFault`."""
 
-    def __init__(self, config: SeatsConfig, run: Callable[[Callable[[], None]], None],
-                 post: Callable[[Inbound], None], wall: Callable[[], float] = wall_s,
-                 fault: Callable[[str], None] = lambda point: None) -> None:
+    def __init__(
+        self,
+        config: SeatsConfig,
+        run: Callable[[Callable[[], None]], None],
+        post: Callable[[Inbound], None],
+        wall: Callable[[], float] = wall_s,
+        fault: Callable[[str], None] = lambda point: None,
+    ) -> None:
         self.config, self.run, self.post, self.wall = config, run, post, wall
         try:
             checker = self._checker()
@@ -46,8 +51,14 @@
             self.store.write(ledger.restore(self.store.load()))
         except (KeyFault, StoreFault) as error:
             raise EntitlementFault(str(error)) from None
-        log.info("seats recovered", extra={"seats": len(ledger.records), "in_doubt": ledger.in_doubt,
-                                           "ms": int((time.monotonic() - began) * 1_000)})
+        log.info(
+            "seats recovered",
+            extra={
+                "seats": len(ledger.records),
+                "in_doubt": ledger.in_doubt,
+                "ms": int((time.monotonic() - began) * 1_000),
+            },
+        )
         self.commits = GroupCommit(self.store, self._lasting)
         self.guide = SeatsGuide(config.rules, checker, ledger, self, wall)
         self._lists()
@@ -104,8 +115,10 @@
             if self.config.revoked is not None:
                 self.guide.revoke(read_revoked(self.config.revoked, self.wall()))
             if self.config.proofs is not None:
-                settled = sum(self.guide.prove(now, session, ran)
-                              for session, ran in read_proofs(self.config.proofs).items())
+                settled = sum(
+                    self.guide.prove(now, session, ran)
+                    for session, ran in read_proofs(self.config.proofs).items()
+                )
                 log.info("proofs read", extra={"settled": settled})
         except EntitlementFault as error:
             log.error("list not taken, the old one stands", extra={"fault": str(error)})
--- a/lotuspick/program/keys.py
+++ b/lotuspick/program/keys.py
@@ -11,7 +11,9 @@
 
 from lotuspick.transport.keys import KeyFault, KeyFolder
 
-app = typer.Typer(help="Keys that sign and check tokens.", no_args_is_help=True, pretty_exceptions_enable=False)
+app = typer.Typer(
+    help="Keys that sign and check tokens.", no_args_is_help=True, pretty_exceptions_enable=False
+)
 Folder = Annotated[Path, typer.Option("--keys", help="The folder of keys.")]
 DEFAULT = Path("keys")
 
@@ -22,9 +24,10 @@
 
 
 @app.command()
-def make(folder: Folder = DEFAULT,
-         overlap: Annotated[int, typer.Option(help="Seconds for which those before it may sign.", min=0)] = 86_400,
-         ) -> None:
+def make(
+    folder: Folder = DEFAULT,
+    overlap: Annotated[int, typer.Option(help="Seconds for which those before it may sign.", min=0)] = 86_400,
+) -> None:
     """Make a key that signs from now on: the first one, or a rotation."""
     try:
         typer.echo(KeyFolder(folder).make(int(time.time()), overlap).kid)
--- a/lotuspick/program/logs.py
+++ b/lotuspick/program/logs.py
@@ -15,8 +15,11 @@
 def start(level: str) -> None:
     """Send all log lines to standard error as ``when=... at=... msg=... key=value``."""
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(Logfmter(keys=["when", "at", "logger"],
-                                  mapping={"when": "asctime", "at": "levelname", "logger": "name"}))
+    handler.setFormatter(
+        Logfmter(
+            keys=["when", "at", "logger"], mapping={"when": "asctime", "at": "levelname", "logger": "name"}
+        )
+    )
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
     logging.getLogger("twisted").setLevel(logging.WARNING)
     # What goes wrong inside the reactor is told in the same form, not lost.
--- a/lotuspick/program/members.py
+++ b/lotuspick/program/members.py
@@ -13,11 +13,26 @@
 from lotuspick.program.config import ConfigError
 from lotuspick.transport.control import ControlFault, ask
 
-app = typer.Typer(help="The brokers of a fleet.", no_args_is_help=True, add_completion=False,
-                  pretty_exceptions_enable=False)
+app = typer.Typer(
+    help="The brokers of a fleet.", no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False
+)
 PeersOption = Annotated[Path | None, typer.Option("--peers", help="The file of the other brokers.")]
-ControlOption = Annotated[str, typer.Option("--control", help="The broker's control address; else as the file says.")]
-COLUMNS = ("member", "state", "life", "address", "zone", "version", "since_s", "reached", "accused_by", "by", "why")
+ControlOption = Annotated[
+    str, typer.Option("--control", help="The broker's control address; else as the file says.")
+]
+COLUMNS = (
+    "member",
+    "state",
+    "life",
+    "address",
+    "zone",
+    "version",
+    "since_s",
+    "reached",
+    "accused_by",
+    "by",
+    "why",
+)
 
 
 def _ask(peers: Path | None, control: str, **what: str) -> dict[str, Any]:
@@ -65,8 +80,11 @@
     for key, value in member.items():
         typer.echo(f"{key}: {_text(value)}")
     typer.echo(f"watchers: {_text(told['watchers'])}")
-    for key, text in (("silent_ms", "{} ms since this broker heard of it"), ("doubted_ms", "accused for {} ms"),
-                      ("deaf_ms", "{} ms ago it said to hear nothing of this broker")):
+    for key, text in (
+        ("silent_ms", "{} ms since this broker heard of it"),
+        ("doubted_ms", "accused for {} ms"),
+        ("deaf_ms", "{} ms ago it said to hear nothing of this broker"),
+    ):
         if key in told:
             typer.echo(text.format(told[key]))
     for by, ago_ms in told.get("accused_ms", {}).items():
--- a/lotuspick/program/parts.py
+++ b/lotuspick/program/parts.py
@@ -124,7 +124,9 @@
         assert broker.config.seats is not None
         self.seats = Entitlement(broker.config.seats, broker.reactor.callFromThread, broker.post)
         self.guide = self.seats.guide
-        self.renew: Renew | None = lambda session, token, done: self.seats.renew(now_us(), session, token, done)
+        self.renew: Renew | None = lambda session, token, done: self.seats.renew(
+            now_us(), session, token, done
+        )
 
     def tick(self, now: int, summary: bool) -> list[News]:
         return self.seats.tick(now, summary)
@@ -150,17 +152,25 @@
         from lotuspick.transport.nodes import NodePool, Switch
 
         told = self.broker.config
-        pool = NodePool(self.broker.reactor, dict(told.hints.nodes), told.dial_us / SECOND, self.broker.post,
-                        self.broker.standing)
+        pool = NodePool(
+            self.broker.reactor,
+            dict(told.hints.nodes),
+            told.dial_us / SECOND,
+            self.broker.post,
+            self.broker.standing,
+        )
         return Switch(pool, edges)
 
     def start(self) -> None:
         from lotuspick.transport.hints import HintsFront
 
         broker, told = self.broker, self.broker.config
-        self.site = HintsFront(broker.reactor, broker.post, broker.ready, broker.terms,
-                               broker.renew).site(told.sockets // 6)
-        self.door = broker.reactor.listenTCP(told.hints.port, self.site, backlog=BACKLOG, interface=told.hints.host)
+        self.site = HintsFront(broker.reactor, broker.post, broker.ready, broker.terms, broker.renew).site(
+            told.sockets // 6
+        )
+        self.door = broker.reactor.listenTCP(
+            told.hints.port, self.site, backlog=BACKLOG, interface=told.hints.host
+        )
         log.info("hints front", extra={"listen": "{0.host}:{0.port}".format(self.door.getHost())})
 
     def unread(self) -> bool:
@@ -186,7 +196,9 @@
         done = deferToThread(self.directory.rates)
         done.addCallback(lambda rates: self.broker.post(Tenants(TenantRates(rates))))
         done.addErrback(lambda reason: log.warning("no tenants", extra={"fault": reason.getErrorMessage()}))
-        done.addBoth(lambda _: self.broker.reactor.callLater(self.broker.config.tenants.refresh_s, self.start))
+        done.addBoth(
+            lambda _: self.broker.reactor.callLater(self.broker.config.tenants.refresh_s, self.start)
+        )
 
 
 PARTS: tuple[tuple[Callable[[Config], Any], str, str], ...] = (
--- a/lotuspick/program/peers.py
+++ b/lotuspick/program/peers.py
@@ -45,8 +45,9 @@
         self.members = Members(told.watch)
         self.standings = Standings(told.standing)
         self.link = Peers(broker.reactor, told.listen[0], self._heard, told.via, draw.getrandbits(62))
-        self.driver = Driver(broker.reactor, self.members, self.commits.submit_all, self._send, self._told,
-                             fired=self._follow)
+        self.driver = Driver(
+            broker.reactor, self.members, self.commits.submit_all, self._send, self._told, fired=self._follow
+        )
         paid = frozenset(each.name for each in broker.config.settings.classes if each.effect == "paid")
         self.fleet = FleetGuide(self.standings, paid, awake_us, told.gap_us)
         self.guide: Guide | None = self.fleet
@@ -91,8 +92,10 @@
                 if record.state is not State.ALIVE:
                     self.link.gone(record.address)
             case Displaced(record=record):
-                log.error("displaced: another process has this broker's name, no paid session is taken until a restart",
-                          extra=line(record))
+                log.error(
+                    "displaced: another process has this broker's name, no paid session is taken until a restart",
+                    extra=line(record),
+                )
             case Stalled(away_us=away_us):
                 self._stalls += 1
                 self.standings.stalled(awake_us())
@@ -102,16 +105,25 @@
         """Each period the standing is looked at; a change is a line."""
         standing = self.standings.see(awake_us(), self.members)
         if standing is not self._said:
-            log.info("standing", extra={
-                "standing": standing.name.lower(), "before": self._said.name.lower(),
-                "reached": len(self.members.reached()), "known": len(self.members.records),
-                "missing": ",".join(sorted(self._missing())[:16])})
+            log.info(
+                "standing",
+                extra={
+                    "standing": standing.name.lower(),
+                    "before": self._said.name.lower(),
+                    "reached": len(self.members.reached()),
+                    "known": len(self.members.records),
+                    "missing": ",".join(sorted(self._missing())[:16]),
+                },
+            )
             self._said = standing
 
     def _missing(self) -> set[str]:
         reached = {each.name for each in self.members.reached()}
-        return {name for name, each in self.members.records.items()
-                if each.state is not State.LEFT and name not in reached}
+        return {
+            name
+            for name, each in self.members.records.items()
+            if each.state is not State.LEFT and name not in reached
+        }
 
     # ---- while it serves ----------------------------------------------------------------------------------
 
@@ -136,26 +148,39 @@
     def counts(self) -> dict[str, str | int]:
         """Figures since the start."""
         members = self.members
-        return {"standing": self.standings.at(awake_us()).name.lower(), "alive": len(members.alive()),
-                "reached": len(members.reached()), "accusations": members.accusations,
-                "false_accusations": members.false_accusations, "refutations": members.refutations,
-                "stalls": self._stalls, "refused_messages": sum(members.refused.values()),
-                "paid_turned_away": self.fleet.turned_away.total(),
-                **{f"link_{key.replace('-', '_')}": count for key, count in sorted(self.link.counts.items())}}
+        return {
+            "standing": self.standings.at(awake_us()).name.lower(),
+            "alive": len(members.alive()),
+            "reached": len(members.reached()),
+            "accusations": members.accusations,
+            "false_accusations": members.false_accusations,
+            "refutations": members.refutations,
+            "stalls": self._stalls,
+            "refused_messages": sum(members.refused.values()),
+            "paid_turned_away": self.fleet.turned_away.total(),
+            **{f"link_{key.replace('-', '_')}": count for key, count in sorted(self.link.counts.items())},
+        }
 
     def answer(self, asked: dict[str, Any]) -> dict[str, Any]:
         """What a command asks. Raises :class:`ControlFault`."""
         name = asked.get("name")
         asks: dict[str, Callable[[], dict[str, Any]]] = {
-            "show": self._show, "explain": lambda: self._explain(name), "drain": lambda: self._drain(name)}
+            "show": self._show,
+            "explain": lambda: self._explain(name),
+            "drain": lambda: self._drain(name),
+        }
         what = asks.get(str(asked.get("ask")))
         if what is None:
             raise ControlFault(f"ask must be one of {', '.join(asks)}")
         return what()
 
     def _show(self) -> dict[str, Any]:
-        return {"own": self.broker.config.name, "counts": self.counts(), "disk": self.driver.fault,
-                "members": [self._member(name) for name in sorted(self.members.records)]}
+        return {
+            "own": self.broker.config.name,
+            "counts": self.counts(),
+            "disk": self.driver.fault,
+            "members": [self._member(name) for name in sorted(self.members.records)],
+        }
 
     def _record(self, name: object) -> Record:
         record = self.members.records.get(str(name))
@@ -167,13 +192,22 @@
         members = self.members
         record = self._record(name)
         by, why = members.because[name]
-        return {**line(record), "offers": list(record.offers), "accused_by": list(members.accused().get(name, ())),
-                "reached": record in members.reached(), "by": by, "why": why,
-                "since_s": round((awake_us() - members.since[name]) / 1e6, 1)}
+        return {
+            **line(record),
+            "offers": list(record.offers),
+            "accused_by": list(members.accused().get(name, ())),
+            "reached": record in members.reached(),
+            "by": by,
+            "why": why,
+            "since_s": round((awake_us() - members.since[name]) / 1e6, 1),
+        }
 
     def _explain(self, name: object) -> dict[str, Any]:
-        return {"own": self.broker.config.name, "member": self._member(self._record(name).name),
-                **self.members.watched(self._record(name).name, awake_us())}
+        return {
+            "own": self.broker.config.name,
+            "member": self._member(self._record(name).name),
+            **self.members.watched(self._record(name).name, awake_us()),
+        }
 
     def _drain(self, name: object) -> dict[str, Any]:
         record = self._record(name)
@@ -185,8 +219,14 @@
 
 def line(record: Record) -> dict[str, Any]:
     """A member in a line's words."""
-    return {"member": record.name, "state": record.state.name.lower(), "life": record.life,
-            "address": record.address, "zone": record.zone, "version": record.version}
+    return {
+        "member": record.name,
+        "state": record.state.name.lower(),
+        "life": record.life,
+        "address": record.address,
+        "zone": record.zone,
+        "version": record.version,
+    }
 
 
 def version() -> str:
--- a/lotuspick/program/seats.py
+++ b/lotuspick/program/seats.py
@@ -42,9 +42,16 @@
 
 
 @app.command()
-def issue(seat: str, viewer: str, tenant: str, lesson: str,
-          cls: Annotated[str, typer.Option(help="The class whose sessions it is for, as the settings name it.")],
-          keys: Keys = Path("keys"), audience: Audience = "lotuspick", minutes: Minutes = 180.0) -> None:
+def issue(
+    seat: str,
+    viewer: str,
+    tenant: str,
+    lesson: str,
+    cls: Annotated[str, typer.Option(help="The class whose sessions it is for, as the settings name it.")],
+    keys: Keys = Path("keys"),
+    audience: Audience = "lotuspick",
+    minutes: Minutes = 180.0,
+) -> None:
     """Sign a token of a seat, and print it."""
     folder, now = KeyFolder(keys), int(time.time())
     try:
@@ -56,13 +63,17 @@
 
 
 @app.command()
-def renew(token: str, keys: Keys = Path("keys"), audience: Audience = "lotuspick", minutes: Minutes = 180.0) -> None:
+def renew(
+    token: str, keys: Keys = Path("keys"), audience: Audience = "lotuspick", minutes: Minutes = 180.0
+) -> None:
     """Sign a newer token of the same seat, and print it. The old one may be past its end by a day."""
     folder, now = KeyFolder(keys), int(time.time())
     try:
         key = _signer(folder, now)
         old = Checker(audience, folder.load()).check(token, now, grace_s=DAY_S)
-        made = replace(old, issued_s=now, starts_s=now, ends_s=now + max(1, int(minutes * 60)), epoch=old.epoch + 1)
+        made = replace(
+            old, issued_s=now, starts_s=now, ends_s=now + max(1, int(minutes * 60)), epoch=old.epoch + 1
+        )
         typer.echo(sign(made, audience, key.kid, folder.private(key.kid)))
     except (KeyFault, TokenFault) as error:
         raise _fail(error) from None
@@ -80,12 +91,16 @@
         if not found:
             raise _fail(StoreFault(f"{store}: no seat {seat}"))
         for key, value in asdict(found[0]).items():
-            shown = State(value).name.lower() if key == "state" else _time(value) if key.endswith("_s") else value
+            shown = (
+                State(value).name.lower() if key == "state" else _time(value) if key.endswith("_s") else value
+            )
             typer.echo(f"{key}: {shown}")
         return
     states = Counter(record.state for record in records)
-    typer.echo(f"seats {len(records)}, counted {sum(record.counted for record in records)}, "
-               + ", ".join(f"{state.name.lower()} {states[state]}" for state in State))
+    typer.echo(
+        f"seats {len(records)}, counted {sum(record.counted for record in records)}, "
+        + ", ".join(f"{state.name.lower()} {states[state]}" for state in State)
+    )
 
 
 def _time(value: int) -> str:
@@ -93,9 +108,11 @@
 
 
 @app.command()
-def revoke(seat: str, listed: Annotated[Path, typer.Option("--list", help="The list that brokers read.")],
-           minutes: Annotated[float, typer.Option(help="Until when its tokens might be good.", min=0.0)] = 1_440.0,
-           ) -> None:
+def revoke(
+    seat: str,
+    listed: Annotated[Path, typer.Option("--list", help="The list that brokers read.")],
+    minutes: Annotated[float, typer.Option(help="Until when its tokens might be good.", min=0.0)] = 1_440.0,
+) -> None:
     """Put a seat on the list of revoked ones, and take off it what has aged out. Brokers read it at SIGHUP."""
     now = time.time()
     try:
@@ -104,18 +121,23 @@
         raise _fail(error) from None
     seats[seat] = max(seats.get(seat, 0), int(now + minutes * 60))
     beside = listed.with_suffix(".new")
-    beside.write_text("".join(json.dumps({"seat": name, "until": until}) + "\n" for name, until in seats.items()),
-                      encoding="utf-8")
+    beside.write_text(
+        "".join(json.dumps({"seat": name, "until": until}) + "\n" for name, until in seats.items()),
+        encoding="utf-8",
+    )
     beside.replace(listed)
     typer.echo(f"{len(seats)} seats revoked")
 
 
 @app.command()
-def settle(ledgers: Annotated[list[str], typer.Argument(help="BROKER=FOLDER of each broker's store.")],
-           into: Annotated[Path | None, typer.Option(help="What was settled before, and then all of it.")] = None,
-           proofs: Annotated[Path | None, typer.Option(help="What media nodes say of sessions.")] = None,
-           listed: Annotated[Path | None, typer.Option("--counted", help="Where the seats that count go, one a line.")]
-           = None) -> None:
+def settle(
+    ledgers: Annotated[list[str], typer.Argument(help="BROKER=FOLDER of each broker's store.")],
+    into: Annotated[Path | None, typer.Option(help="What was settled before, and then all of it.")] = None,
+    proofs: Annotated[Path | None, typer.Option(help="What media nodes say of sessions.")] = None,
+    listed: Annotated[
+        Path | None, typer.Option("--counted", help="Where the seats that count go, one a line.")
+    ] = None,
+) -> None:
     """Put the ledgers of all brokers together: in any order and as often as wanted, with the same result."""
     try:
         parts = [read_settled(into)] if into is not None and into.exists() else []
@@ -135,13 +157,17 @@
     if listed is not None:
         listed.write_text("".join(f"{seat}\n" for seat in counted), encoding="utf-8")
     for conflict in found:
-        typer.echo(f"conflict {conflict.kind} seat={conflict.seat} counted={','.join(conflict.counted) or 'none'} "
-                   f"doubted={','.join(conflict.doubted) or 'none'}")
+        typer.echo(
+            f"conflict {conflict.kind} seat={conflict.seat} counted={','.join(conflict.counted) or 'none'} "
+            f"doubted={','.join(conflict.doubted) or 'none'}"
+        )
     for seat, brokers in unsure.items():
         typer.echo(f"doubt seat={seat} brokers={','.join(brokers)}")
     kinds = Counter(conflict.kind for conflict in found)
-    typer.echo(f"settled ledgers={len(ledgers)} counted={len(counted)} in_doubt={len(unsure)} "
-               + " ".join(f"{kind.replace('-', '_')}={kinds[kind]}" for kind in ("at-once", "perhaps", "doubt")))
+    typer.echo(
+        f"settled ledgers={len(ledgers)} counted={len(counted)} in_doubt={len(unsure)} "
+        + " ".join(f"{kind.replace('-', '_')}={kinds[kind]}" for kind in ("at-once", "perhaps", "doubt"))
+    )
 
 
 def write_settled(path: Path, merged: Ledgers) -> None:
--- a/lotuspick/program/serve.py
+++ b/lotuspick/program/serve.py
@@ -32,8 +32,9 @@
 
     def load(self) -> config.Config:
         """Read and check all of them. Raises :class:`ConfigError`, whose text names file and key."""
-        return config.load(os.environ, self.broker, self.hints, self.tenants, self.cells, self.seats,
-                           self.peers)
+        return config.load(
+            os.environ, self.broker, self.hints, self.tenants, self.cells, self.seats, self.peers
+        )
 
 
 def serve(files: Files, log_level: str = "info") -> None:
--- a/lotuspick/protocol/cmcd.py
+++ b/lotuspick/protocol/cmcd.py
@@ -13,9 +13,24 @@
 HEADERS = ("cmcd-request", "cmcd-object", "cmcd-status", "cmcd-session")
 QUERY = "CMCD"
 KINDS = {
-    "br": WHOLE, "bl": WHOLE, "bs": FLAG, "cid": TEXT, "d": WHOLE, "dl": WHOLE, "mtp": WHOLE, "nor": TEXT,
-    "nrr": TEXT, "ot": TOKEN, "pr": NUMBER, "rtp": WHOLE, "sf": TOKEN, "sid": TEXT, "st": TOKEN, "su": FLAG,
-    "tb": WHOLE, "v": WHOLE,
+    "br": WHOLE,
+    "bl": WHOLE,
+    "bs": FLAG,
+    "cid": TEXT,
+    "d": WHOLE,
+    "dl": WHOLE,
+    "mtp": WHOLE,
+    "nor": TEXT,
+    "nrr": TEXT,
+    "ot": TOKEN,
+    "pr": NUMBER,
+    "rtp": WHOLE,
+    "sf": TOKEN,
+    "sid": TEXT,
+    "st": TOKEN,
+    "su": FLAG,
+    "tb": WHOLE,
+    "v": WHOLE,
 }
 
 
@@ -27,8 +42,9 @@
     fits(sum(len(text) for _, text in parts), "CMCD")
     found: dict[str, Any] = {}
     for name, text in parts:
-        pairs = [(key, structured.bare(value))
-                 for key, value in structured.parse(text, "dictionary", name).items()]
+        pairs = [
+            (key, structured.bare(value)) for key, value in structured.parse(text, "dictionary", name).items()
+        ]
         for key, value in structured.check(pairs, KINDS, name).items():
             if found.setdefault(key, value) != value:
                 raise ProtocolFault(f"{key} is given twice, and not alike")
--- a/lotuspick/protocol/cmsd.py
+++ b/lotuspick/protocol/cmsd.py
@@ -11,15 +11,27 @@
 from lotuspick.protocol.structured import FLAG, KB_PER_KBIT, NUMBER, TEXT, TOKEN, WHOLE
 
 STATIC, DYNAMIC = "cmsd-static", "cmsd-dynamic"
-STATIC_KINDS = {"at": WHOLE, "br": WHOLE, "d": WHOLE, "ht": WHOLE, "n": TEXT, "nor": TEXT, "nrr": TEXT,
-                "ot": TOKEN, "sf": TOKEN, "st": TOKEN, "v": WHOLE}
+STATIC_KINDS = {
+    "at": WHOLE,
+    "br": WHOLE,
+    "d": WHOLE,
+    "ht": WHOLE,
+    "n": TEXT,
+    "nor": TEXT,
+    "nrr": TEXT,
+    "ot": TOKEN,
+    "sf": TOKEN,
+    "st": TOKEN,
+    "v": WHOLE,
+}
 DYNAMIC_KINDS = {"du": FLAG, "etp": WHOLE, "mb": WHOLE, "rd": NUMBER, "rtt": WHOLE}
 
 
 def read_static(text: str) -> dict[str, Any]:
     """The known keys of ``CMSD-Static``."""
-    pairs = [(key, structured.bare(value))
-             for key, value in structured.parse(text, "dictionary", STATIC).items()]
+    pairs = [
+        (key, structured.bare(value)) for key, value in structured.parse(text, "dictionary", STATIC).items()
+    ]
     return structured.check(pairs, STATIC_KINDS, STATIC)
 
 
--- a/lotuspick/protocol/coordinator.py
+++ b/lotuspick/protocol/coordinator.py
@@ -93,10 +93,15 @@
     if state not in STATES:
         raise ProtocolFault(f"state is unknown: {state[:40]!r}")
     try:
-        return ServerEntry(_get(server, "id", str), _get(server, "zone", str, ""),
-                           _get(server, "kind", str, ""), _get(server, "cell", int, 0), STATES[state],
-                           float(_get(server, "weight", (int, float), 1)),
-                           int(_get(server, "started_ms", (int, float), 0)) * 1_000,
-                           _get(server, "addr", str))
+        return ServerEntry(
+            _get(server, "id", str),
+            _get(server, "zone", str, ""),
+            _get(server, "kind", str, ""),
+            _get(server, "cell", int, 0),
+            STATES[state],
+            float(_get(server, "weight", (int, float), 1)),
+            int(_get(server, "started_ms", (int, float), 0)) * 1_000,
+            _get(server, "addr", str),
+        )
     except (ValueError, OverflowError) as error:
         raise ProtocolFault(f"started_ms or weight: {error}") from None
--- a/lotuspick/protocol/edge.py
+++ b/lotuspick/protocol/edge.py
@@ -50,11 +50,11 @@
     while at < len(frame):
         if at + 3 > len(frame):
             raise ProtocolFault("message ends inside the head of a parameter")
-        code, length = frame[at], int.from_bytes(frame[at + 1:at + 3], "big")
+        code, length = frame[at], int.from_bytes(frame[at + 1 : at + 3], "big")
         at += 3
         if at + length > len(frame):
             raise ProtocolFault(f"parameter {code} of {length} bytes goes past its message")
-        parameters[code] = frame[at:at + length]
+        parameters[code] = frame[at : at + length]
         at += length
     return Message(frame[0], frame[1:9].hex(), parameters)
 
@@ -70,9 +70,17 @@
 
 
 def set_up(ask: SetUp) -> bytes:
-    return encode(SET_UP, ask.session, {
-        CLASS: ask.cls.encode(), WAIT: str(ask.wait_ms).encode(), TITLE: ask.title.encode(),
-        LEVEL: str(ask.rung).encode(), DESCRIPTION: ask.description})
+    return encode(
+        SET_UP,
+        ask.session,
+        {
+            CLASS: ask.cls.encode(),
+            WAIT: str(ask.wait_ms).encode(),
+            TITLE: ask.title.encode(),
+            LEVEL: str(ask.rung).encode(),
+            DESCRIPTION: ask.description,
+        },
+    )
 
 
 def release(session: str, ending: Ending) -> bytes:
@@ -98,8 +106,13 @@
         cause = message.parameters.get(CAUSE, b"")
         if len(cause) != 1:
             raise ProtocolFault("release has no cause of one byte (parameter 128)")
-        return EdgeReleased(edge, message.session, BEFORE.get(cause[0], Ending.BROKEN),
-                            AFTER.get(cause[0], Ending.CUT), report(message))
+        return EdgeReleased(
+            edge,
+            message.session,
+            BEFORE.get(cause[0], Ending.BROKEN),
+            AFTER.get(cause[0], Ending.CUT),
+            report(message),
+        )
     if message.kind == NOTE:
         topic = TOPICS.get(message.text(TOPIC, "topic"))
         value = _figure(message.text(FIGURE, "figure"))
--- a/lotuspick/protocol/rtsp.py
+++ b/lotuspick/protocol/rtsp.py
@@ -23,9 +23,15 @@
 
 FORBIDDEN = 403
 SERVED, BAD_REQUEST, NO_BANDWIDTH, FAILED, NOT_READY, NOT_IMPLEMENTED = 200, 400, 453, 500, 503, 501
-REASONS = {SERVED: "OK", BAD_REQUEST: "Bad Request", FORBIDDEN: "Forbidden", NO_BANDWIDTH: "Not Enough Bandwidth",
-           FAILED: "Internal Server Error", NOT_READY: "Service Unavailable",
-           NOT_IMPLEMENTED: "Not Implemented"}
+REASONS = {
+    SERVED: "OK",
+    BAD_REQUEST: "Bad Request",
+    FORBIDDEN: "Forbidden",
+    NO_BANDWIDTH: "Not Enough Bandwidth",
+    FAILED: "Internal Server Error",
+    NOT_READY: "Service Unavailable",
+    NOT_IMPLEMENTED: "Not Implemented",
+}
 TOKEN = "p-token"  # a header of ours: what entitles the viewer; read where seats are on
 CSEQ = {"SETUP": "1", "TEARDOWN": "2", "OPTIONS": "3"}
 CAUSES = {Ending.FINISHED: 16, Ending.REVOKED: 31, Ending.LAPSED: 31, Ending.SUPERSEDED: 31}
@@ -143,7 +149,7 @@
     figures that no viewer of this site has: a home past the positions would be taken for another title's."""
     if message.header("P-Kind") not in terms.classes:
         raise ProtocolFault(f"P-Kind is unknown: {message.header('P-Kind')[:40]!r}")
-    title = message.address[len(BASE):]
+    title = message.address[len(BASE) :]
     if not title:
         raise ProtocolFault("address names no title")
     if len(message.body) + len(title) > MOST_BYTES - EDGE_HEAD:
@@ -154,14 +160,18 @@
             raise ProtocolFault(f"P-Path has no {name}")
     left_ms = min(whole(message.header("P-Time-Left"), "P-Time-Left", 0, MOST_LEFT_MS), KEPT_MS)
     common = {
-        "session": message.session, "cls": message.header("P-Kind"), "title": title,
+        "session": message.session,
+        "cls": message.header("P-Kind"),
+        "title": title,
         "home": whole(figures["home"], "P-Path home", 0, terms.positions - 1),
         "copies": whole(figures["copies"], "P-Path copies", 1, terms.positions),
         "ceiling": whole(figures["top"], "P-Path top", 0, terms.rungs - 1),
         "deadline_us": now_us + left_ms * 1_000,
         "length_us": _hint(message.headers.get("x-length")),
-        "viewer": figures.get("viewer", ""), "tenant": message.headers.get("p-billed", ""),
-        "moved": figures.get("moved") == "1", "returned": figures.get("again") == "1",
+        "viewer": figures.get("viewer", ""),
+        "tenant": message.headers.get("p-billed", ""),
+        "moved": figures.get("moved") == "1",
+        "returned": figures.get("again") == "1",
         "token": message.headers.get(TOKEN, ""),
     }
     if "at" in figures:
@@ -183,8 +193,9 @@
     return "\r\n".join(lines).encode("ascii", "replace") + body
 
 
-def response(status: int, cseq: str, session: str = "", body: bytes = b"", gap_ms: int = 0,
-             why: str = "") -> bytes:
+def response(
+    status: int, cseq: str, session: str = "", body: bytes = b"", gap_ms: int = 0, why: str = ""
+) -> bytes:
     """A response; ``why`` goes out as its reason phrase."""
     phrase = " ".join("".join(each if " " <= each <= "~" else " " for each in why).split())[:120]
     headers = [("CSeq", cseq)]
@@ -198,5 +209,8 @@
 def release(session: str, ending: Ending) -> bytes:
     """The message that a session which stood is over."""
     cause = CAUSES.get(ending, BREAK)
-    return _head(f"TEARDOWN {BASE}{session} {VERSION}",
-                 [("CSeq", CSEQ["TEARDOWN"]), ("Session", session), ("Reason", f"cause={cause}")], b"")
+    return _head(
+        f"TEARDOWN {BASE}{session} {VERSION}",
+        [("CSeq", CSEQ["TEARDOWN"]), ("Session", session), ("Reason", f"cause={cause}")],
+        b"",
+    )
--- a/lotuspick/protocol/structured.py
+++ b/lotuspick/protocol/structured.py
@@ -17,8 +17,11 @@
 WHOLE, FLAG, TEXT, NUMBER, TOKEN = "a whole number", "a boolean", "a string", "a number", "a token"
 
 # The words of tokens, and the unit of rates, are the same in both.
-WORDS = {"ot": frozenset("m a v av i c tt k o".split()), "sf": frozenset("d h s o".split()),
-         "st": frozenset("v l".split())}
+WORDS = {
+    "ot": frozenset("m a v av i c tt k o".split()),
+    "sf": frozenset("d h s o".split()),
+    "st": frozenset("v l".split()),
+}
 KB_PER_KBIT = 1 / 8
 
 
--- a/lotuspick/routing/endings.py
+++ b/lotuspick/routing/endings.py
@@ -75,6 +75,16 @@
 }
 """What the module is told. The one place where endings become outcomes."""
 
-ALIVE = frozenset({Ending.DIAL_FAILED, Ending.RESET, Ending.CLOSED, Ending.MALFORMED, Ending.BROKEN,
-                   Ending.MOVED, Ending.EDGE_ERROR, Ending.NO_ANSWER})
+ALIVE = frozenset(
+    {
+        Ending.DIAL_FAILED,
+        Ending.RESET,
+        Ending.CLOSED,
+        Ending.MALFORMED,
+        Ending.BROKEN,
+        Ending.MOVED,
+        Ending.EDGE_ERROR,
+        Ending.NO_ANSWER,
+    }
+)
 """An attempt that ends so tells of itself or its connection alone, not that the server's process is gone."""
--- a/lotuspick/routing/loop.py
+++ b/lotuspick/routing/loop.py
@@ -100,7 +100,9 @@
     written_us: int = 0  # later where a connection had to come up first
     out: bool = False  # an attempt is out
     stands: bool = False
-    again: dict[Viewer, int] = field(default_factory=dict)  # other connections on which it came while open, and when
+    again: dict[Viewer, int] = field(
+        default_factory=dict
+    )  # other connections on which it came while open, and when
 
 
 @dataclass(slots=True, eq=False)
@@ -132,8 +134,16 @@
 class Loop:
     """Holds the sessions of one broker; all times are whole microseconds of one clock."""
 
-    def __init__(self, module: Decider, edges: Edges, clock: Callable[[], int],
-                 wake_at: Callable[[int], None], period_us: int, classes: frozenset[str], gap_ms: int = 0) -> None:
+    def __init__(
+        self,
+        module: Decider,
+        edges: Edges,
+        clock: Callable[[], int],
+        wake_at: Callable[[int], None],
+        period_us: int,
+        classes: frozenset[str],
+        gap_ms: int = 0,
+    ) -> None:
         """``gap_ms``: how long viewers are asked to stay away that come while more is open than can be held."""
         self.module, self.edges, self.clock, self.wake_at = module, edges, clock, wake_at
         self.period_us, self.classes, self.gap_ms = period_us, classes, gap_ms
@@ -150,12 +160,21 @@
         self.shared_us = -SHARED_US  # when a connection that many share was last given up for a newcomer
         self.open_set_ups = 0
         self.turns: dict[type, Callable[[Any, int], list[Event]]] = {
-            Asked: self._asked, Dropped: self._dropped, ViewerLost: self._viewer_lost,
-            ViewerCame: self._viewer_came, EdgeAnswered: self._answered, EdgeReleased: self._edge_released,
-            EdgeNoted: self._noted, AttemptOver: self._attempt_over, EdgeDown: self._edge_down,
-            Roster: self._roster, Hinted: lambda item, now: [item.hint],
-            Tenants: lambda item, now: [item.news], Dismissed: self._dismissed,
-            Settled: lambda item, now: [GuideNews()], AttemptWritten: self._written,
+            Asked: self._asked,
+            Dropped: self._dropped,
+            ViewerLost: self._viewer_lost,
+            ViewerCame: self._viewer_came,
+            EdgeAnswered: self._answered,
+            EdgeReleased: self._edge_released,
+            EdgeNoted: self._noted,
+            AttemptOver: self._attempt_over,
+            EdgeDown: self._edge_down,
+            Roster: self._roster,
+            Hinted: lambda item, now: [item.hint],
+            Tenants: lambda item, now: [item.news],
+            Dismissed: self._dismissed,
+            Settled: lambda item, now: [GuideNews()],
+            AttemptWritten: self._written,
         }
 
     # ---- inbox and tick -----------------------------------------------------------------------------------
@@ -181,8 +200,12 @@
         ranked: list[tuple[tuple[int, int, int], Viewer]] = []
         for viewer, seat in self.viewers.items():
             there = self.by_viewer.get(viewer, ())
-            if (viewer.open and viewer not in asking and viewer.heard_us <= now - QUIET_US
-                    and all(self.table[each].stands for each in there)):
+            if (
+                viewer.open
+                and viewer not in asking
+                and viewer.heard_us <= now - QUIET_US
+                and all(self.table[each].stands for each in there)
+            ):
                 ranked.append((seat.rank(viewer, len(there)), viewer))
         best = heapq.nsmallest(most, ranked, key=lambda each: each[0])
         if best and best[0][0][0] == 3:
@@ -236,8 +259,11 @@
             # A fault of the module must not cost the sessions that it is not about: those that it was asked
             # about are failed, since nobody will answer them, and the rest play on.
             log.exception("module fault", extra={"events": len(events)})
-            actions = [Fail(event.session) for event in events
-                       if isinstance(event, SessionRequest) and not isinstance(event, SessionPlaying)]
+            actions = [
+                Fail(event.session)
+                for event in events
+                if isinstance(event, SessionRequest) and not isinstance(event, SessionPlaying)
+            ]
         for action in actions:
             try:
                 self._carry_out(action, now)
@@ -256,7 +282,9 @@
             if entry.stands:
                 self.edges.release(entry.edge, session, Ending.STOPPED)
                 self._over(session, entry, Ending.STOPPED, now)
-        if not any(each.open for each in self.viewers):  # guards against an end put off for viewers that are gone
+        if not any(
+            each.open for each in self.viewers
+        ):  # guards against an end put off for viewers that are gone
             log.info("no viewer left to tell", extra={"releases": len(self.owed)})
             self.owed.clear()
 
@@ -289,8 +317,12 @@
         # under the same name while the attempt made for it may still run.
         used = held is not None or session in self.unsettled
         if used or request.cls not in self.classes:
-            self._say(item.viewer, lambda viewer: viewer.failed(
-                session, "id in use" if used else f"unknown class {request.cls}"))
+            self._say(
+                item.viewer,
+                lambda viewer: viewer.failed(
+                    session, "id in use" if used else f"unknown class {request.cls}"
+                ),
+            )
             return []
         if self.open_set_ups >= MOST_OPEN:
             self._say(item.viewer, lambda viewer: viewer.refused(session, self.gap_ms))
@@ -313,14 +345,18 @@
         return False
 
     def _same(self, held: Entry, item: Asked) -> bool:
-        return (held.description == item.description
-                and replace(held.request, deadline_us=0) == replace(item.request, deadline_us=0))
+        return held.description == item.description and replace(held.request, deadline_us=0) == replace(
+            item.request, deadline_us=0
+        )
 
-    def _handed_over(self, request: SessionPlaying, held: Entry | None, viewer: Viewer | None,
-                     now: int) -> list[Event]:
+    def _handed_over(
+        self, request: SessionPlaying, held: Entry | None, viewer: Viewer | None, now: int
+    ) -> list[Event]:
         if held is not None or request.cls not in self.classes:
             return []
-        entry = Entry(request, viewer=viewer, edge=request.server, attempt=0, sent_us=now, written_us=now, stands=True)
+        entry = Entry(
+            request, viewer=viewer, edge=request.server, attempt=0, sent_us=now, written_us=now, stands=True
+        )
         self._put(request.session, entry)
         self._seat(request.session, entry.viewer)
         self.edges.watch(request.server)
@@ -393,8 +429,14 @@
 
     def _answered(self, item: EdgeAnswered, now: int) -> list[Event]:
         entry, told = self.table.get(item.session), list[Event]()
-        if (entry is not None and entry.edge == item.edge and entry.out and entry.viewer is not None
-                and not entry.viewer.open and not self._pass_on(item.session, entry, now)):
+        if (
+            entry is not None
+            and entry.edge == item.edge
+            and entry.out
+            and entry.viewer is not None
+            and not entry.viewer.open
+            and not self._pass_on(item.session, entry, now)
+        ):
             # Its viewer left, which is not told yet. Guards against a session that stands for nobody.
             told, entry = self._give_up(item.session, entry), None
         if entry is None or entry.edge != item.edge or not entry.out:
@@ -417,8 +459,11 @@
         if entry is None or entry.edge != item.edge or not (entry.out or entry.stands):
             # Its end is known already; the load that comes with it is news all the same, and so is proof.
             told: list[Event] = []
-            if (entry is None and OUTCOMES[item.before] in NEVER_RAN
-                    and self.unsettled.settle(item.session, item.edge)):
+            if (
+                entry is None
+                and OUTCOMES[item.before] in NEVER_RAN
+                and self.unsettled.settle(item.session, item.edge)
+            ):
                 told.append(Proof(item.session, item.edge, False))
             if item.report:
                 told.append(Ended(item.session, -1, item.edge, "unsent", True, 0, item.report))
@@ -456,8 +501,11 @@
     def _cut(self, edge: str, ending: Ending, now: int, before_us: int) -> list[Event]:
         """End what stands at an edge server since before a time; attempts are reported one by one."""
         there = sorted(self.by_edge.get(edge, ())) if before_us else []
-        return [self._over(session, entry, ending, now) for session in there
-                if (entry := self.table[session]).stands and entry.written_us < before_us]
+        return [
+            self._over(session, entry, ending, now)
+            for session in there
+            if (entry := self.table[session]).stands and entry.written_us < before_us
+        ]
 
     # ---- endings ------------------------------------------------------------------------------------------
 
@@ -469,11 +517,20 @@
         self._leave(session, entry)
         return event
 
-    def _tell(self, session: str, entry: Entry, ending: Ending, final: bool, now: int,
-              report: Any = None) -> Ended:
+    def _tell(
+        self, session: str, entry: Entry, ending: Ending, final: bool, now: int, report: Any = None
+    ) -> Ended:
         """What the module is told of an end. A session that stood is cut by its server, whatever the word."""
-        return Ended(session, entry.attempt, entry.edge, OUTCOMES[ending], final, now - entry.sent_us,
-                     report or {}, not entry.stands and ending in ALIVE)
+        return Ended(
+            session,
+            entry.attempt,
+            entry.edge,
+            OUTCOMES[ending],
+            final,
+            now - entry.sent_us,
+            report or {},
+            not entry.stands and ending in ALIVE,
+        )
 
     def _over(self, session: str, entry: Entry, ending: Ending, now: int, report: Any = None) -> Ended:
         """A session that stood is over; its viewer hears of it unless it ended it."""
@@ -589,8 +646,10 @@
         wait_us = min(action.timeout_us, left_us) if action.timeout_us else left_us
         attempt = entry.attempt
         log.debug("sent", extra={"session": session, "edge": action.server, "rung": entry.rung})
-        ending = self.edges.set_up(action.server, SetUp(
-            session, request.cls, request.title, entry.rung, max(1, wait_us // MS), entry.description))
+        ending = self.edges.set_up(
+            action.server,
+            SetUp(session, request.cls, request.title, entry.rung, max(1, wait_us // MS), entry.description),
+        )
         if ending is not None:
             self.post(AttemptOver(action.server, session, ending))
         else:
--- a/lotuspick/routing/ports.py
+++ b/lotuspick/routing/ports.py
@@ -208,5 +208,20 @@
     news: TenantRates
 
 
-Inbound = (Asked | Dropped | ViewerLost | ViewerCame | EdgeAnswered | EdgeReleased | EdgeNoted | AttemptOver
-           | AttemptWritten | EdgeDown | Roster | Hinted | Tenants | Dismissed | Settled)
+Inbound = (
+    Asked
+    | Dropped
+    | ViewerLost
+    | ViewerCame
+    | EdgeAnswered
+    | EdgeReleased
+    | EdgeNoted
+    | AttemptOver
+    | AttemptWritten
+    | EdgeDown
+    | Roster
+    | Hinted
+    | Tenants
+    | Dismissed
+    | Settled
+)
--- a/lotuspick/settings.py
+++ b/lotuspick/settings.py
@@ -92,19 +92,21 @@
         for index in range(whole(pairs, "Categories.count")):
             at = f"Categories.{index}."
             effect = need(pairs, at + "Repeat")
-            classes.append(ClassSettings(
-                name=need(pairs, at + "Name"),
-                aim_us=whole(pairs, at + "TargetUs"),
-                effect=EFFECTS.get(effect, effect),
-                worth=decimal(pairs, at + "Worth", 1.0),
-                scale=decimal(per_class("ClassScale", index, "1"), "FamilyInfo.ClassScale"),
-                floor=whole(per_class("ClassFloor", index, "0"), "FamilyInfo.ClassFloor"),
-                top=whole(per_class("HighestRung", index, "1000"), "FamilyInfo.HighestRung"),
-                seats=whole(per_class("Seats", index, "0"), "FamilyInfo.Seats"),
-                live=flag(per_class("Live", index, "false"), "FamilyInfo.Live"),
-                group=GROUPS.get(group := pairs.get(at + "KeyScope", "all"), group),
-                group_window_us=whole(pairs, at + "WindowUs", 0),
-            ))
+            classes.append(
+                ClassSettings(
+                    name=need(pairs, at + "Name"),
+                    aim_us=whole(pairs, at + "TargetUs"),
+                    effect=EFFECTS.get(effect, effect),
+                    worth=decimal(pairs, at + "Worth", 1.0),
+                    scale=decimal(per_class("ClassScale", index, "1"), "FamilyInfo.ClassScale"),
+                    floor=whole(per_class("ClassFloor", index, "0"), "FamilyInfo.ClassFloor"),
+                    top=whole(per_class("HighestRung", index, "1000"), "FamilyInfo.HighestRung"),
+                    seats=whole(per_class("Seats", index, "0"), "FamilyInfo.Seats"),
+                    live=flag(per_class("Live", index, "false"), "FamilyInfo.Live"),
+                    group=GROUPS.get(group := pairs.get(at + "KeyScope", "all"), group),
+                    group_window_us=whole(pairs, at + "WindowUs", 0),
+                )
+            )
         kinds = listed(pairs, "MachineTypes")
         places = numbers("FamilyInfo.PlacesByKind")
         tenants = {
--- a/lotuspick/transport/control.py
+++ b/lotuspick/transport/control.py
@@ -71,7 +71,10 @@
 def ask(address: tuple[str, int], what: dict[str, Any], patience_s: float = 5.0) -> dict[str, Any]:
     """Ask a running broker, and wait. Raises :class:`ControlFault`."""
     try:
-        with socket.create_connection(address, patience_s) as connection, connection.makefile("rwb") as stream:
+        with (
+            socket.create_connection(address, patience_s) as connection,
+            connection.makefile("rwb") as stream,
+        ):
             stream.write(json.dumps(what).encode() + b"\n")
             stream.flush()
             line = stream.readline()
--- a/lotuspick/transport/coordinator.py
+++ b/lotuspick/transport/coordinator.py
@@ -24,7 +24,9 @@
 WAIT_MS = 1_000  # how long an answer may take that has nothing to tell; short, so that silence shows soon
 GRACE_S = 0.75  # an answer later than the wait by this has been lost with its connection
 AGAIN_S = 0.1  # pause after a failure, so that a coordinator that refuses is not asked in a tight loop
-TRIES = 3  # so often a malformed update is asked for before it is passed over: it may have been spoilt on its way
+TRIES = (
+    3  # so often a malformed update is asked for before it is passed over: it may have been spoilt on its way
+)
 
 
 class Link(protocol.Protocol):
@@ -70,7 +72,9 @@
                     self.http.start_next_cycle()
                 else:
                     self.leave()
-                self._finish(self.body if self.status == 200 else Failure(ProtocolFault(f"status {self.status}")))
+                self._finish(
+                    self.body if self.status == 200 else Failure(ProtocolFault(f"status {self.status}"))
+                )
             case h11.InformationalResponse():
                 pass
             case _:  # more has to come, or nothing more will
@@ -101,8 +105,9 @@
 class Feed:
     """Follows the coordinator from an index on."""
 
-    def __init__(self, reactor: Reactor, address: str, index: int,
-                 tell: Callable[[wire.Change], None]) -> None:
+    def __init__(
+        self, reactor: Reactor, address: str, index: int, tell: Callable[[wire.Change], None]
+    ) -> None:
         self.reactor, self.address, self.index, self.tell = reactor, address, index, tell
         self.failing = self.moved = False
         self.asked: Deferred[bytes] | None = None
@@ -131,7 +136,11 @@
         else:
             host, port = wire.address(self.address)
             links: Any = protocol.Factory.forProtocol(lambda: Link(self.address))
-            asked = TCP4ClientEndpoint(self.reactor, host, port, timeout=GRACE_S).connect(links).addCallback(self._ask)
+            asked = (
+                TCP4ClientEndpoint(self.reactor, host, port, timeout=GRACE_S)
+                .connect(links)
+                .addCallback(self._ask)
+            )
         self.asked = asked
         asked.addTimeout(WAIT_MS / 1_000 + GRACE_S, self.reactor)
         asked.addCallbacks(self._read, self._failed)
@@ -161,7 +170,9 @@
 
     def _failed(self, reason: Failure) -> None:
         if self.kept and reason.check(error.ConnectionDone, error.ConnectionLost):
-            self.reactor.callLater(0, self.poll)  # it was closed as the question went out: that is no fault yet
+            self.reactor.callLater(
+                0, self.poll
+            )  # it was closed as the question went out: that is no fault yet
             return
         if not self.failing and not self.moved:
             log.warning("coordinator does not answer", extra={"fault": reason.getErrorMessage()[:200]})
--- a/lotuspick/transport/directory.py
+++ b/lotuspick/transport/directory.py
@@ -35,8 +35,14 @@
     import ldap3
 
     server = ldap3.Server(config.url, connect_timeout=TIMEOUT_S)
-    return ldap3.Connection(server, config.bind_dn or None, config.password or None, read_only=True,
-                            receive_timeout=TIMEOUT_S, auto_bind=True)
+    return ldap3.Connection(
+        server,
+        config.bind_dn or None,
+        config.password or None,
+        read_only=True,
+        receive_timeout=TIMEOUT_S,
+        auto_bind=True,
+    )
 
 
 class LdapDirectory:
@@ -53,9 +59,16 @@
         try:
             connection = self.connector(config)
             try:
-                entries = list(connection.extend.standard.paged_search(
-                    config.base, config.filter, ldap3.SUBTREE, paged_size=PAGE, generator=True,
-                    attributes=[config.name_attribute, config.rate_attribute]))
+                entries = list(
+                    connection.extend.standard.paged_search(
+                        config.base,
+                        config.filter,
+                        ldap3.SUBTREE,
+                        paged_size=PAGE,
+                        generator=True,
+                        attributes=[config.name_attribute, config.rate_attribute],
+                    )
+                )
             finally:
                 connection.unbind()
         except (LDAPException, OSError) as error:
--- a/lotuspick/transport/edges.py
+++ b/lotuspick/transport/edges.py
@@ -129,8 +129,9 @@
     def drop(self, ending: Ending, why: str = "") -> None:
         """Close at once."""
         if self.up:
-            log.info("edge connection dropped",
-                     extra={"edge": self.link.edge, "ending": ending.value, "why": why})
+            log.info(
+                "edge connection dropped", extra={"edge": self.link.edge, "ending": ending.value, "why": why}
+            )
             self.ending = self.ending or ending
             self.up = False
             self.transport.abortConnection()
@@ -230,7 +231,9 @@
         factory: Any = protocol.Factory.forProtocol(lambda: EdgeConnection(self, address))
         factory.noisy = False
         done = endpoint.connect(factory)
-        done.addCallbacks(self._up, lambda reason: self._not_up(dial_failed(reason), address), callbackArgs=(address,))
+        done.addCallbacks(
+            self._up, lambda reason: self._not_up(dial_failed(reason), address), callbackArgs=(address,)
+        )
         done.addErrback(lambda reason: log.error("dial", extra={"edge": self.edge, "fault": str(reason)}))
 
     def check(self, why: str) -> None:
@@ -311,8 +314,12 @@
     @property
     def plays_on(self) -> bool:
         """Told to leave, and heard lately: it takes no connection any more, and holds what it has until it ends."""
-        return (self.leaving and self.connection is not None and self.connection.up
-                and self.pool.reactor.seconds() - self.connection.heard_s < UNCHECKED_S)
+        return (
+            self.leaving
+            and self.connection is not None
+            and self.connection.up
+            and self.pool.reactor.seconds() - self.connection.heard_s < UNCHECKED_S
+        )
 
     def _not_up(self, ending: Ending, address: tuple[str, int] | None) -> None:
         self._dialled(well=False)
@@ -327,8 +334,10 @@
                 self.down(Ending.DOWN)  # a process that refuses has died, and has cut what it held
         elif not self.pool.standing(self.edge):
             return
-        elif (self.dials >= (LOCAL_DIALS if ending is Ending.DIAL_FAILED else DIALS)
-              and self.pool.reactor.seconds() - self.heard_s > SILENT_S):
+        elif (
+            self.dials >= (LOCAL_DIALS if ending is Ending.DIAL_FAILED else DIALS)
+            and self.pool.reactor.seconds() - self.heard_s > SILENT_S
+        ):
             # Guards against sessions left standing: nothing will ever tell the end of what a machine held
             # that vanished.
             self.down(Ending.SILENT)
@@ -370,8 +379,9 @@
         if connection is not self.connection:
             return
         self.connection = None
-        if ((ending is Ending.RESET or self.pool.standing(self.edge) and ending is not Ending.SILENT)
-                and self.pool.reactor.seconds() - self.up_s > BRIEF_S):
+        if (
+            ending is Ending.RESET or self.pool.standing(self.edge) and ending is not Ending.SILENT
+        ) and self.pool.reactor.seconds() - self.up_s > BRIEF_S:
             self.dial("lost")  # what ends there is told on the next; the sweep dials after brief ones
 
     # ---- receiving ----------------------------------------------------------------------------------------
@@ -379,8 +389,15 @@
     def received(self, connection: EdgeConnection, message: wire.Message) -> None:
         self.heard_s = connection.heard_s = self.pool.reactor.seconds()
         if log.isEnabledFor(logging.DEBUG):
-            log.debug("edge says", extra={"edge": self.edge, "kind": message.kind, "session": message.session,
-                                          "parameters": str(dict(message.parameters))[:200]})
+            log.debug(
+                "edge says",
+                extra={
+                    "edge": self.edge,
+                    "kind": message.kind,
+                    "session": message.session,
+                    "parameters": str(dict(message.parameters))[:200],
+                },
+            )
         item = wire.read(self.edge, message)
         if item is None:
             return
@@ -416,8 +433,9 @@
         elif connection.part_since is not None and now_s - connection.part_since > PART_WAY_S:
             # Guards against set-ups that follow a spoilt answer into a connection that nothing comes out of.
             connection.drop(Ending.MALFORMED, "stopped short")
-        elif not self.replaced and any(sent.connection is connection and sent.mute(now_s)
-                                       for sent in self.open.values()):
+        elif not self.replaced and any(
+            sent.connection is connection and sent.mute(now_s) for sent in self.open.values()
+        ):
             self.dial("mute")
         elif (standing or self.open) and silent_s > silence_s:
             if self.address is None:
@@ -432,8 +450,13 @@
 class EdgePool:
     """All edge servers; the loop's :class:`lotuspick.routing.ports.Edges`."""
 
-    def __init__(self, reactor: Reactor, limits: EdgeLimits, post: Callable[[Inbound], None],
-                 standing: Callable[[str], int]) -> None:
+    def __init__(
+        self,
+        reactor: Reactor,
+        limits: EdgeLimits,
+        post: Callable[[Inbound], None],
+        standing: Callable[[str], int],
+    ) -> None:
         self.reactor, self.limits, self.post, self.standing = reactor, limits, post, standing
         self.links: dict[str, EdgeLink] = {}
         self.sockets: set[EdgeConnection] = set()  # all that are open, whichever link they belong to
@@ -454,8 +477,9 @@
     def may_check(self) -> bool:
         """Guards against checks of all links at once when it is the notes that stay out: each that finds its
         server well has cost a connection, at every broker."""
-        return (self.reactor.seconds() >= self.check_s
-                and not any(link.checked for link in self.links.values()))
+        return self.reactor.seconds() >= self.check_s and not any(
+            link.checked for link in self.links.values()
+        )
 
     def found(self, well: bool) -> None:
         """What a check found. While servers prove dead the next is checked at once."""
@@ -474,8 +498,13 @@
         deaths[link.edge] = now_s
         if len(deaths) > 1:
             for other in self.links.values():
-                if (other.zone == link.zone and other.edge not in deaths and other.connection is not None
-                        and other.up_s < now_s - ZONE_S and self.standing(other.edge)):
+                if (
+                    other.zone == link.zone
+                    and other.edge not in deaths
+                    and other.connection is not None
+                    and other.up_s < now_s - ZONE_S
+                    and self.standing(other.edge)
+                ):
                     other.check("zone")
 
     def named(self, news: ServerList, addresses: dict[str, tuple[str, int]]) -> None:
--- a/lotuspick/transport/hints.py
+++ b/lotuspick/transport/hints.py
@@ -110,8 +110,14 @@
 class HintsFront:
     """All players of this front, by session."""
 
-    def __init__(self, reactor: Reactor, post: Callable[[Inbound], None], ready: Callable[[], bool],
-                 terms: rtsp.Terms, renew: Renew | None = None) -> None:
+    def __init__(
+        self,
+        reactor: Reactor,
+        post: Callable[[Inbound], None],
+        ready: Callable[[], bool],
+        terms: rtsp.Terms,
+        renew: Renew | None = None,
+    ) -> None:
         self.reactor, self.post, self.ready, self.terms, self.renew = reactor, post, ready, terms, renew
         self.players: dict[str, HttpPlayer] = {}
         self.ended: OrderedDict[str, Ending] = OrderedDict()
@@ -229,9 +235,13 @@
         keys = self._cmcd(request)
         if not title.isascii() or not title.isprintable() or " " in title:
             raise ProtocolFault("title is not printable ASCII")
-        message = rtsp.Message("SETUP", rtsp.BASE + title, body=request.content.read(),
-                               headers={name: header(request, name) for name in FIELDS
-                                        if has(request, name)} | (bearer(request) if self.front.renew else {}))
+        message = rtsp.Message(
+            "SETUP",
+            rtsp.BASE + title,
+            body=request.content.read(),
+            headers={name: header(request, name) for name in FIELDS if has(request, name)}
+            | (bearer(request) if self.front.renew else {}),
+        )
         session = message.session
         asked = rtsp.read_set_up(message, now_us(), self.front.terms)
         if isinstance(asked.request, SessionPlaying):
@@ -259,9 +269,18 @@
     def _renew(self, request: Any, session: str) -> int:
         if self.front.renew is None or session not in self.front.players:
             return GONE if session in self.front.ended else MISSING
-        token = bearer(request).get(rtsp.TOKEN) or (header(request, rtsp.TOKEN) if has(request, rtsp.TOKEN) else "")
-        self.front.renew(session, token, lambda fault: finish(
-            request, (FORBIDDEN if fault.startswith("token-") else BUSY) if fault else NOTHING, fault.encode()))
+        token = bearer(request).get(rtsp.TOKEN) or (
+            header(request, rtsp.TOKEN) if has(request, rtsp.TOKEN) else ""
+        )
+        self.front.renew(
+            session,
+            token,
+            lambda fault: finish(
+                request,
+                (FORBIDDEN if fault.startswith("token-") else BUSY) if fault else NOTHING,
+                fault.encode(),
+            ),
+        )
         return 0
 
     def _wait(self, request: Any, session: str) -> int:
@@ -311,7 +330,7 @@
     text = header(request, "authorization")
     if not text.startswith(BEARER) or has(request, rtsp.TOKEN):
         raise ProtocolFault("Authorization must be Bearer, and the only token")
-    return {rtsp.TOKEN: text[len(BEARER):].strip()}
+    return {rtsp.TOKEN: text[len(BEARER) :].strip()}
 
 
 def header(request: Any, name: str) -> str:
@@ -339,5 +358,3 @@
         request.setHeader("content-length", str(len(body)))
     request.write(body)
     request.finish()
-
-
--- a/lotuspick/transport/keys.py
+++ b/lotuspick/transport/keys.py
@@ -94,20 +94,34 @@
 
     def _write(self, keys: list[PublicKey]) -> None:
         beside = self.public.with_suffix(".new")
-        beside.write_text(json.dumps({"keys": [_jwk(key) for key in keys]}, indent=1) + "\n", encoding="utf-8")
+        beside.write_text(
+            json.dumps({"keys": [_jwk(key) for key in keys]}, indent=1) + "\n", encoding="utf-8"
+        )
         beside.replace(self.public)
 
 
 def _jwk(key: PublicKey) -> dict[str, Any]:
     raw = key.key.public_bytes(Encoding.Raw, PublicFormat.Raw)
-    return {"kty": "OKP", "crv": "Ed25519", "use": "sig", "kid": key.kid,
-            "x": base64.urlsafe_b64encode(raw).decode().rstrip("="), "from": key.from_s, "until": key.until_s,
-            "withdrawn": key.withdrawn}
+    return {
+        "kty": "OKP",
+        "crv": "Ed25519",
+        "use": "sig",
+        "kid": key.kid,
+        "x": base64.urlsafe_b64encode(raw).decode().rstrip("="),
+        "from": key.from_s,
+        "until": key.until_s,
+        "withdrawn": key.withdrawn,
+    }
 
 
 def _key(told: dict[str, Any]) -> PublicKey:
     if (told["kty"], told["crv"]) != ("OKP", "Ed25519"):
         raise ValueError(f"key {told['kid']!r:.40} is of another kind")
     raw = base64.urlsafe_b64decode(told["x"] + "=" * (-len(told["x"]) % 4))
-    return PublicKey(str(told["kid"]), Ed25519PublicKey.from_public_bytes(raw), int(told["from"]), int(told["until"]),
-                     told["withdrawn"] is True)
+    return PublicKey(
+        str(told["kid"]),
+        Ed25519PublicKey.from_public_bytes(raw),
+        int(told["from"]),
+        int(told["until"]),
+        told["withdrawn"] is True,
+    )
--- a/lotuspick/transport/lasting.py
+++ b/lotuspick/transport/lasting.py
@@ -60,8 +60,15 @@
     """One folder with the records of one table. ``most_mib`` bounds its size; ``fault`` is called at each point at
     which a process may die."""
 
-    def __init__(self, path: Path, table: bytes, form: bytes, most_mib: int,
-                 fault: Callable[[str], None] = lambda point: None, sync: bool = True) -> None:
+    def __init__(
+        self,
+        path: Path,
+        table: bytes,
+        form: bytes,
+        most_mib: int,
+        fault: Callable[[str], None] = lambda point: None,
+        sync: bool = True,
+    ) -> None:
         self.path, self.fault, self.most = path, fault, most_mib * 2**20
         try:
             path.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -129,7 +136,10 @@
         env = lmdb.open(str(path), readonly=True, max_dbs=2)
         try:
             with env.begin() as reading:
-                meta, rows = env.open_db(META, reading, create=False), env.open_db(table, reading, create=False)
+                meta, rows = (
+                    env.open_db(META, reading, create=False),
+                    env.open_db(table, reading, create=False),
+                )
                 _known(path, reading.get(b"format", db=meta) or b"none", form)
                 yield reading.cursor(db=rows)
         finally:
@@ -143,14 +153,21 @@
 
     TABLE, FORM = b"steps", b"steps 1"
 
-    def __init__(self, path: Path, most_mib: int = 16, fault: Callable[[str], None] = lambda point: None,
-                 sync: bool = True) -> None:
+    def __init__(
+        self,
+        path: Path,
+        most_mib: int = 16,
+        fault: Callable[[str], None] = lambda point: None,
+        sync: bool = True,
+    ) -> None:
         self.env = Environment(path, self.TABLE, self.FORM, most_mib, fault, sync)
 
     def load(self) -> dict[str, bytes]:
         """All records. Raises :class:`StoreFault` naming a spoilt one: nothing is guessed about what was promised."""
-        return {key.decode(): opened(f"{self.env.path}: {key.decode(errors='replace')}", key, row)
-                for key, row in self.env.rows()}
+        return {
+            key.decode(): opened(f"{self.env.path}: {key.decode(errors='replace')}", key, row)
+            for key, row in self.env.rows()
+        }
 
     def write(self, records: Iterable[tuple[str, bytes]], drop: Iterable[str] = ()) -> None:
         """Put records in place of those before, all or nothing, and return when it lasts, or :class:`StoreFault`."""
@@ -188,8 +205,13 @@
     """Writes on a thread of its own: whatever waits when a commit ends goes into the next one. ``deliver`` is called
     on that thread after each commit, with all that are to hear of it, and brings them to the reactor."""
 
-    def __init__(self, store: Store, deliver: Callable[[list[tuple[Done, str]]], None] = _call,
-                 batch: int = BATCH, name: str = "seats") -> None:
+    def __init__(
+        self,
+        store: Store,
+        deliver: Callable[[list[tuple[Done, str]]], None] = _call,
+        batch: int = BATCH,
+        name: str = "seats",
+    ) -> None:
         self.store, self.deliver, self.batch = store, deliver, batch
         self.commits = 0
         self._waiting: queue.SimpleQueue[_Due | None] = queue.SimpleQueue()
@@ -232,8 +254,10 @@
     def _commit(self, due: list[_Due]) -> None:
         fault = ""
         try:
-            self.store.write([record for each in due for record in each.records],
-                             [key for each in due for key in each.drop])
+            self.store.write(
+                [record for each in due for record in each.records],
+                [key for each in due for key in each.drop],
+            )
             self.commits += 1
         except StoreFault as error:
             fault = str(error)
--- a/lotuspick/transport/nodes.py
+++ b/lotuspick/transport/nodes.py
@@ -54,8 +54,14 @@
 class NodePool:
     """All HTTP nodes, by id."""
 
-    def __init__(self, reactor: Reactor, addresses: dict[str, str], dial_s: float,
-                 post: Callable[[Inbound], None], standing: Callable[[str], int]) -> None:
+    def __init__(
+        self,
+        reactor: Reactor,
+        addresses: dict[str, str],
+        dial_s: float,
+        post: Callable[[Inbound], None],
+        standing: Callable[[str], int],
+    ) -> None:
         self.reactor, self.post, self.standing = reactor, post, standing
         self.nodes = {name: Node(name, address) for name, address in addresses.items()}
         pool = HTTPConnectionPool(reactor)
@@ -64,8 +70,9 @@
         pool.maxPersistentPerHost = 4
         self.agent = Agent(reactor, connectTimeout=dial_s, pool=pool)
 
-    def _request(self, node: Node, method: str, path: str, query: dict[str, Any] | None = None,
-                 body: bytes = b"") -> Deferred[Any]:
+    def _request(
+        self, node: Node, method: str, path: str, query: dict[str, Any] | None = None, body: bytes = b""
+    ) -> Deferred[Any]:
         url = f"http://{node.address}{path}" + (f"?{urlencode(query)}" if query else "")
         producer: Any = FileBodyProducer(BytesIO(body)) if body else None
         asked: Deferred[Any] = self.agent.request(method.encode(), url.encode(), bodyProducer=producer)
@@ -78,8 +85,11 @@
 
     def _hint(self, node: Node, response: Any) -> None:
         try:
-            headers = {name: response.headers.getRawHeaders(name)[0] for name in (cmsd.STATIC, cmsd.DYNAMIC)
-                       if response.headers.hasHeader(name)}
+            headers = {
+                name: response.headers.getRawHeaders(name)[0]
+                for name in (cmsd.STATIC, cmsd.DYNAMIC)
+                if response.headers.hasHeader(name)
+            }
             hint = cmsd.hint(node.name, headers)
         except (ProtocolFault, UnicodeError) as fault:
             log.info("malformed CMSD", extra={"node": node.name, "fault": str(fault)})
@@ -167,8 +177,9 @@
 
 def ending(reason: Failure) -> Ending:
     """How a request ended that got no answer. Only a connection that never came up proves it never ran."""
-    if reason.check(error.ConnectError, error.ConnectingCancelledError, error.DNSLookupError,
-                    error.TimeoutError):  # the agent's own time-out is that of the connection
+    if reason.check(
+        error.ConnectError, error.ConnectingCancelledError, error.DNSLookupError, error.TimeoutError
+    ):  # the agent's own time-out is that of the connection
         return dial_failed(reason)
     failures: Any = getattr(reason.value, "reasons", ())
     if any(each.check(error.ConnectionDone) for each in failures):
--- a/lotuspick/transport/peers.py
+++ b/lotuspick/transport/peers.py
@@ -329,8 +329,9 @@
     """All links of one broker. ``take`` is called with the address of a peer and its message; ``via`` names where a
     peer is reached that is not reached at its own address; ``run`` tells this process from others of its address."""
 
-    def __init__(self, reactor: Reactor, host: str, take: Take, via: Mapping[str, str] | None = None,
-                 run: int = 0) -> None:
+    def __init__(
+        self, reactor: Reactor, host: str, take: Take, via: Mapping[str, str] | None = None, run: int = 0
+    ) -> None:
         self.reactor, self.host, self.take, self.via, self.run = reactor, host, take, via or {}, run
         self.address = ""
         self.made = 0
@@ -350,7 +351,9 @@
         streams = self.reactor.listenTCP(port, factory, interface=self.host)
         self._ports = [streams]
         number = streams.getHost().port
-        self._ports.append(self.reactor.listenUDP(number, self._datagrams, interface=self.host, maxPacketSize=65_536))
+        self._ports.append(
+            self.reactor.listenUDP(number, self._datagrams, interface=self.host, maxPacketSize=65_536)
+        )
         self.address = f"{self.host}:{number}"
         return self.address
 
--- a/lotuspick/transport/seats.py
+++ b/lotuspick/transport/seats.py
@@ -20,23 +20,45 @@
 
 def pack(record: Record) -> bytes:
     """A record as it lies on disk."""
-    return sealed(record.seat.encode(), ENCODE((
-        int(record.state), record.session, record.viewer, record.epoch, record.ends_s, record.changes,
-        record.counted, record.from_s, record.until_s, record.doubted)))
+    return sealed(
+        record.seat.encode(),
+        ENCODE(
+            (
+                int(record.state),
+                record.session,
+                record.viewer,
+                record.epoch,
+                record.ends_s,
+                record.changes,
+                record.counted,
+                record.from_s,
+                record.until_s,
+                record.doubted,
+            )
+        ),
+    )
 
 
 def unpack(seat: str, raw: bytes) -> Record:
     """The record of a seat. Raises :class:`StoreFault` for one that is not as it was written."""
     state, session, viewer, epoch, ends_s, changes, counted, from_s, until_s, doubted = DECODE(
-        opened(f"seat {seat}", seat.encode(), raw))
-    return Record(seat, STATES[state], session, viewer, epoch, ends_s, changes, counted, from_s, until_s, doubted)
+        opened(f"seat {seat}", seat.encode(), raw)
+    )
+    return Record(
+        seat, STATES[state], session, viewer, epoch, ends_s, changes, counted, from_s, until_s, doubted
+    )
 
 
 class SeatStore:
     """The file. ``most_mib`` bounds its size; ``fault`` is called at each point at which a process may die."""
 
-    def __init__(self, path: Path, most_mib: int = DEFAULT_MIB, fault: Callable[[str], None] = lambda point: None,
-                 sync: bool = True) -> None:
+    def __init__(
+        self,
+        path: Path,
+        most_mib: int = DEFAULT_MIB,
+        fault: Callable[[str], None] = lambda point: None,
+        sync: bool = True,
+    ) -> None:
         self.env = Environment(path, SEATS, str(FORMAT).encode(), most_mib, fault, sync)
 
     def load(self) -> list[Record]:
@@ -45,7 +67,9 @@
 
     def write(self, records: Iterable[Record], drop: Iterable[str] = ()) -> None:
         """Put records in and drop seats; see :meth:`Environment.commit`."""
-        self.env.commit(((each.seat.encode(), pack(each)) for each in records), (seat.encode() for seat in drop))
+        self.env.commit(
+            ((each.seat.encode(), pack(each)) for each in records), (seat.encode() for seat in drop)
+        )
 
     def close(self) -> None:
         self.env.close()
--- a/lotuspick/transport/steps.py
+++ b/lotuspick/transport/steps.py
@@ -45,15 +45,24 @@
     """Drives one machine. ``send`` carries a message out and ``tell`` takes its news; neither may step it by itself.
     ``fired`` is called after each timer's step."""
 
-    def __init__(self, reactor: Reactor, machine: Machine, keep: Keep, send: Callable[[Send], object],
-                 tell: Callable[[Any], None], clock: Callable[[], int] = awake_us,
-                 fired: Callable[[], None] = lambda: None) -> None:
+    def __init__(
+        self,
+        reactor: Reactor,
+        machine: Machine,
+        keep: Keep,
+        send: Callable[[Send], object],
+        tell: Callable[[Any], None],
+        clock: Callable[[], int] = awake_us,
+        fired: Callable[[], None] = lambda: None,
+    ) -> None:
         self.reactor, self.machine, self.clock = reactor, machine, clock
         self.keep, self.send, self.tell, self.fired = keep, send, tell, fired
         self.fault = ""
         """Why the disk does not take what is written; empty: it does."""
         self._outbox = Outbox()
-        self._unwritten: list[tuple[str, bytes]] = []  # in order; the first so many are on their way to the disk
+        self._unwritten: list[
+            tuple[str, bytes]
+        ] = []  # in order; the first so many are on their way to the disk
         self._writing = 0
         self._timers: dict[str, tuple[int, Any]] = {}  # when each is due, and the call that waits for it
         self._events: deque[Event] = deque()
@@ -134,7 +143,10 @@
     def _set(self, timer: str, due_us: int) -> None:
         if timer in self._timers and self._timers[timer][1].active():
             self._timers[timer][1].cancel()
-        self._timers[timer] = (due_us, self.reactor.callLater(max(0, due_us - self.clock()) / 1e6, self._fire, timer))
+        self._timers[timer] = (
+            due_us,
+            self.reactor.callLater(max(0, due_us - self.clock()) / 1e6, self._fire, timer),
+        )
 
     def _fire(self, timer: str) -> None:
         due_us, _ = self._timers.pop(timer)
--- a/lotuspick/transport/viewers.py
+++ b/lotuspick/transport/viewers.py
@@ -24,7 +24,9 @@
 # saying nothing for so long at first: who has no request to make takes up a descriptor
 UNREAD_S = 5.0  # so does not reading what was written for so long
 FAULTS, REST_S = 3, 0.25  # malformed messages on one connection before each further one has it rest so long
-WAITING_PART = 8  # as many more as this part may be here, those on their way out included; as many are taken at once
+WAITING_PART = (
+    8  # as many more as this part may be here, those on their way out included; as many are taken at once
+)
 AGAIN_S = 0.05  # while newcomers wait outside, room is looked for so often
 SPARED_PART = 32  # the part of all connections that is closed at once to make room
 MORE = 4  # of so many times as many, since those of which something waits unread are passed over
@@ -102,7 +104,9 @@
         self._end()
         self.transport.unregisterProducer()
         self.transport.loseConnection()
-        self._unread = self._stop(self._unread) or self.front.reactor.callLater(UNREAD_S, self.drop, Ending.SILENT)
+        self._unread = self._stop(self._unread) or self.front.reactor.callLater(
+            UNREAD_S, self.drop, Ending.SILENT
+        )
 
     def say_no_more(self) -> None:
         """Close one direction: this process ends, and its peer reads the rest."""
@@ -142,7 +146,7 @@
             self._malformed(str(fault))
 
     def rawDataReceived(self, data: bytes) -> None:
-        take, rest = data[:self._want - len(self._body)], data[self._want - len(self._body):]
+        take, rest = data[: self._want - len(self._body)], data[self._want - len(self._body) :]
         self._body += take
         if len(self._body) == self._want:
             body, self._body = self._body, b""
@@ -175,7 +179,9 @@
 
     def _rested(self) -> None:
         self._resting = None
-        if hung_up(self.transport.fileno()):  # not seen while nothing was read, nor for as long as something is left
+        if hung_up(
+            self.transport.fileno()
+        ):  # not seen while nothing was read, nor for as long as something is left
             self.drop(Ending.CLOSED)
             return
         self.paused = False
@@ -204,7 +210,9 @@
                     session, token = message.session, message.header(rtsp.TOKEN)
 
                     def renewed(fault: str) -> None:
-                        self._write(rtsp.response(rtsp.FORBIDDEN if fault else rtsp.SERVED, cseq, session, why=fault))
+                        self._write(
+                            rtsp.response(rtsp.FORBIDDEN if fault else rtsp.SERVED, cseq, session, why=fault)
+                        )
 
                     self.front.renew(session, token, renewed)
                 case _:
@@ -252,13 +260,22 @@
 
     noisy = False
 
-    def __init__(self, reactor: Reactor, post: Callable[[Inbound], None], ready: Callable[[], bool],
-                 terms: rtsp.Terms, most: int, spare: Callable[[int], list[Viewer]],
-                 renew: Renew | None = None) -> None:
+    def __init__(
+        self,
+        reactor: Reactor,
+        post: Callable[[Inbound], None],
+        ready: Callable[[], bool],
+        terms: rtsp.Terms,
+        most: int,
+        spare: Callable[[int], list[Viewer]],
+        renew: Renew | None = None,
+    ) -> None:
         self.reactor, self.post, self.ready, self.terms, self.renew = reactor, post, ready, terms, renew
         self.most, self.spare = most, spare
         self.viewers: dict[RtspViewer, None] = {}
-        self.leaving: set[RtspViewer] = set()  # of these, those that have ended and whose sockets are not gone yet
+        self.leaving: set[RtspViewer] = (
+            set()
+        )  # of these, those that have ended and whose sockets are not gone yet
         self.dropped: Counter[str] = Counter()
         self.door: Door | None = None
         self.shut: Any = None  # the next look for room, while the door is shut
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -36,7 +36,9 @@
             continue
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts) or "::" not in parts[0] or not parts[2].isdigit():
-            raise RedListError(f"{PATH.name}, line {number}: not `file::test | cause | issue number`: {line.strip()!r}")
+            raise RedListError(
+                f"{PATH.name}, line {number}: not `file::test | cause | issue number`: {line.strip()!r}"
+            )
         found.append(Red(*parts))
     if len(found) > MOST:
         raise RedListError(f"{PATH.name}: {len(found)} tests, {MOST} at most")
@@ -51,7 +53,9 @@
     for red in reds:
         if red.test not in by_name:
             raise RedListError(f"{PATH.name}: no test {red.test}")
-        by_name[red.test].add_marker(pytest.mark.xfail(reason=f"{red.cause} (issue {red.issue})", strict=True))
+        by_name[red.test].add_marker(
+            pytest.mark.xfail(reason=f"{red.cause} (issue {red.issue})", strict=True)
+        )
 
 
 def pytest_configure(config: Any) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -26,11 +26,26 @@
 
 def settings(**changes: Any) -> Settings:
     values: dict[str, Any] = {
-        "zone": "a", "gateways": 1, "ladder_kb": LADDER, "rung_worth": (0.25, 0.5, 0.75, 1.0),
-        "classes": [ClassSettings("clip", SECOND), ClassSettings("exam", 1_500_000, effect="paid", worth=3.0)],
-        "places_by_kind": {"box": 30}, "positions": 4, "racks": 2, "link_kb_per_weight": 1000.0,
-        "seen_after_us": 500_000, "tell_us": 3 * SECOND, "max_attempts": 4, "drain_grace_us": SECOND,
-        "cold_from": 0.5, "cold_us": 8 * SECOND, "fall_multiple": 2.5, "fall_us": 1_500_000,
+        "zone": "a",
+        "gateways": 1,
+        "ladder_kb": LADDER,
+        "rung_worth": (0.25, 0.5, 0.75, 1.0),
+        "classes": [
+            ClassSettings("clip", SECOND),
+            ClassSettings("exam", 1_500_000, effect="paid", worth=3.0),
+        ],
+        "places_by_kind": {"box": 30},
+        "positions": 4,
+        "racks": 2,
+        "link_kb_per_weight": 1000.0,
+        "seen_after_us": 500_000,
+        "tell_us": 3 * SECOND,
+        "max_attempts": 4,
+        "drain_grace_us": SECOND,
+        "cold_from": 0.5,
+        "cold_us": 8 * SECOND,
+        "fall_multiple": 2.5,
+        "fall_us": 1_500_000,
     }
     return Settings(**{**values, **changes})
 
@@ -46,8 +61,14 @@
 
 def request(session: str, now: int = 0, **changes: Any) -> SessionRequest:
     values: dict[str, Any] = {
-        "session": session, "cls": "clip", "title": "t", "home": 0, "copies": 4, "ceiling": 3,
-        "deadline_us": now + 4 * SECOND, "length_us": 40e6,
+        "session": session,
+        "cls": "clip",
+        "title": "t",
+        "home": 0,
+        "copies": 4,
+        "ceiling": 3,
+        "deadline_us": now + 4 * SECOND,
+        "length_us": 40e6,
     }
     return SessionRequest(**{**values, **changes})
 
@@ -72,5 +93,17 @@
     return (sends[0].server, of(actions, SetRung)[0].rung) if sends else None
 
 
-__all__ = ["LADDER", "SECOND", "Ended", "Refuse", "Started", "controller", "entry", "of", "place", "request",
-           "servers", "settings"]
+__all__ = [
+    "LADDER",
+    "SECOND",
+    "Ended",
+    "Refuse",
+    "Started",
+    "controller",
+    "entry",
+    "of",
+    "place",
+    "request",
+    "servers",
+    "settings",
+]
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -27,9 +27,23 @@
 
 
 def build() -> Controller:
-    return Controller(settings(racks=3, gateways=2, uplink_kb=9_000.0, retry_after=True, cross_zone_price=0.06,
-                               max_retry_after_us=2 * SECOND, change_cost_s=0.5, link_kb_per_weight=2_000.0,
-                               weights="nominal", reports=True, tenant_rates=TENANTS, positions=COUNT), SEED)
+    return Controller(
+        settings(
+            racks=3,
+            gateways=2,
+            uplink_kb=9_000.0,
+            retry_after=True,
+            cross_zone_price=0.06,
+            max_retry_after_us=2 * SECOND,
+            change_cost_s=0.5,
+            link_kb_per_weight=2_000.0,
+            weights="nominal",
+            reports=True,
+            tenant_rates=TENANTS,
+            positions=COUNT,
+        ),
+        SEED,
+    )
 
 
 def plain(value: Any) -> Any:
@@ -82,10 +96,19 @@
         self.made += 1
         name = f"q{self.made}"
         made = face.SessionRequest(
-            name, draw.choice(["clip", "clip", "exam"]), f"t{draw.randrange(6)}", draw.randrange(COUNT),
-            draw.choice([2, 3, 3, 5]), draw.randrange(4), now + draw.choice([2, 4]) * SECOND,
-            draw.choice([None, 15e6, 40e6, 100e6, 200e6]), f"v{draw.randrange(300)}",
-            draw.choice(["", "law", "law", "arts"]), draw.random() < 0.05, draw.random() < 0.2)
+            name,
+            draw.choice(["clip", "clip", "exam"]),
+            f"t{draw.randrange(6)}",
+            draw.randrange(COUNT),
+            draw.choice([2, 3, 3, 5]),
+            draw.randrange(4),
+            now + draw.choice([2, 4]) * SECOND,
+            draw.choice([None, 15e6, 40e6, 100e6, 200e6]),
+            f"v{draw.randrange(300)}",
+            draw.choice(["", "law", "law", "arts"]),
+            draw.random() < 0.05,
+            draw.random() < 0.2,
+        )
         self.asks[name], self.tries[name] = made, -1
         return made
 
@@ -100,7 +123,9 @@
         if draw.random() < 0.5 and self.where:
             name = draw.choice(sorted(self.where))
             server = self.where[name][0]
-            load = sum(100.0 * 2 ** self.rungs.get(each, 0) for each, at in self.where.items() if at[0] == server)
+            load = sum(
+                100.0 * 2 ** self.rungs.get(each, 0) for each, at in self.where.items() if at[0] == server
+            )
             load /= 900.0 + 300.0 * (int(server[1:]) % 4)
             topic = draw.choice(["link", "link", "share", "rung", "rack"])
             value = {"link": load, "share": min(1.0, 1 / max(load, 1e-9)), "rack": load / 2}.get(topic, 1)
@@ -112,8 +137,14 @@
             out.append(face.ServerList([self.entry(at, draw.choice(["draining", "gone", "active"]), now)]))
             self.after(now + 6 * SECOND, face.ServerList([self.entry(at, "active", now + 5 * SECOND)]))
         if draw.random() < 0.05 and self.where:
-            out.append(face.PlayerHint(draw.choice(sorted(self.where)), draw.choice([None, 0.5, 3.0]),
-                                       draw.random() < 0.3, draw.choice([None, 80.0, 500.0])))
+            out.append(
+                face.PlayerHint(
+                    draw.choice(sorted(self.where)),
+                    draw.choice([None, 0.5, 3.0]),
+                    draw.random() < 0.3,
+                    draw.choice([None, 80.0, 500.0]),
+                )
+            )
         if draw.random() < 0.02:
             out.append(face.ServerHint(f"s{draw.randrange(COUNT)}", draw.choice([50.0, 900.0])))
         if draw.random() < 0.005:
@@ -129,7 +160,10 @@
                 return []
             del self.where[name]
             report = {"link": self.random.random()} if self.random.random() < 0.5 else {}
-            return [face.Ended(name, attempt, at[0], outcome, final, 90_000, report, self.random.random() < 0.5)]
+            return [
+                face.Ended(name, attempt, at[0], outcome, final, 90_000, report, self.random.random() < 0.5)
+            ]
+
         return due
 
     def start(self, name: str, attempt: int, length_us: float) -> Any:
@@ -137,8 +171,11 @@
             at = self.where.get(name)
             if at is None or at[1] != attempt:
                 return []
-            self.after(now + int(length_us), self.end(name, attempt, self.random.choice(["served", "lost"]), True))
+            self.after(
+                now + int(length_us), self.end(name, attempt, self.random.choice(["served", "lost"]), True)
+            )
             return [face.Started(name, attempt, at[0], 90_000)]
+
         return due
 
     def act(self, now: int, actions: Sequence[Any]) -> None:
@@ -155,10 +192,14 @@
                     self.where[name] = (action.server, attempt, 0)
                     if draw.random() < 0.8:
                         length = self.asks[name].length_us or 30e6
-                        self.after(now + draw.randrange(40_000, 400_000), self.start(name, attempt, length / 4))
+                        self.after(
+                            now + draw.randrange(40_000, 400_000), self.start(name, attempt, length / 4)
+                        )
                     else:
                         outcome = draw.choice(["error", "full", "timeout", "unreachable", "lost", "unsent"])
-                        self.after(now + draw.randrange(20_000, 900_000), self.end(name, attempt, outcome, False))
+                        self.after(
+                            now + draw.randrange(20_000, 900_000), self.end(name, attempt, outcome, False)
+                        )
                 case face.Refuse() | face.Fail():
                     self.asks.pop(action.session, None)
 
@@ -167,10 +208,14 @@
     made, world, now = build(), World(), 0
     with PATH.open("wb") as raw, gzip.GzipFile("", "wb", 9, raw, mtime=0) as sink:
         events: list[Any] = [face.ServerList([world.entry(at) for at in range(COUNT)], complete=True)]
-        events += [face.SessionPlaying("p0", "clip", "t0", 0, 3, 3, 9 * SECOND, 30e6, "v0", "law", server="s1")]
+        events += [
+            face.SessionPlaying("p0", "clip", "t0", 0, 3, 3, 9 * SECOND, 30e6, "v0", "law", server="s1")
+        ]
         for _ in range(STEPS):
             actions = made.handle(now, events)
-            sink.write((json.dumps([now, plain(events), plain(actions)], separators=(",", ":")) + "\n").encode())
+            sink.write(
+                (json.dumps([now, plain(events), plain(actions)], separators=(",", ":")) + "\n").encode()
+            )
             world.act(now, actions)
             now += STEP_US
             events = world.events(now)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -38,20 +38,52 @@
 ROOT = Path(__file__).parent.parent
 Said = tuple[str, str, dict[str, str]]
 KINDS = {"SETUP": 1, "ANSWER": 9, "RELEASE": 12, "HEARD": 16, "NOTE": 44, "RUNG": 60}
-CODES = {"class": 100, "wait": 102, "title": 108, "topic": 114, "report": 118, "rung": 122, "figure": 124,
-         "cause": 128, "body": 130}
-STATES = {"up": "in_service", "refused": "in_service", "silent": "in_service", "draining": "terminating",
-          "gone": "terminated"}
+CODES = {
+    "class": 100,
+    "wait": 102,
+    "title": 108,
+    "topic": 114,
+    "report": 118,
+    "rung": 122,
+    "figure": 124,
+    "cause": 128,
+    "body": 130,
+}
+STATES = {
+    "up": "in_service",
+    "refused": "in_service",
+    "silent": "in_service",
+    "draining": "terminating",
+    "gone": "terminated",
+}
 SETTINGS: dict[str, Any] = {
-    "Az": "a", "GroupSize": 1, "MachineTypes": ["box"], "PeriodUs": 5000, "Discovery": "automatic",
+    "Az": "a",
+    "GroupSize": 1,
+    "MachineTypes": ["box"],
+    "PeriodUs": 5000,
+    "Discovery": "automatic",
     "Categories": [
         {"Name": "clip", "Repeat": "pure", "TargetUs": 1_000_000, "Worth": 1.0},
-        {"Name": "exam", "Repeat": "side_effect", "TargetUs": 1_000_000, "Worth": 2.0}],
-    "FamilyInfo": {"Cells": 4, "LevelKb": [100.0, 200.0, 400.0], "WorthByRung": [0.3, 0.6, 1.0],
-                   "WeightKb": 4000.0, "PlacesByKind": [30], "ClassFloor": [0, 1], "TellUs": 2_000_000,
-                   "SeenAfterUs": 500_000},
-    "Limits": {"AttemptsCap": 3, "DialTimeoutUs": 250_000, "ConnIdleUs": 30_000_000, "StreamsPerConn": 32,
-               "RetryAfter": True, "MaxRetryAfterUs": 2_000_000},
+        {"Name": "exam", "Repeat": "side_effect", "TargetUs": 1_000_000, "Worth": 2.0},
+    ],
+    "FamilyInfo": {
+        "Cells": 4,
+        "LevelKb": [100.0, 200.0, 400.0],
+        "WorthByRung": [0.3, 0.6, 1.0],
+        "WeightKb": 4000.0,
+        "PlacesByKind": [30],
+        "ClassFloor": [0, 1],
+        "TellUs": 2_000_000,
+        "SeenAfterUs": 500_000,
+    },
+    "Limits": {
+        "AttemptsCap": 3,
+        "DialTimeoutUs": 250_000,
+        "ConnIdleUs": 30_000_000,
+        "StreamsPerConn": 32,
+        "RetryAfter": True,
+        "MaxRetryAfterUs": 2_000_000,
+    },
     "Invariants": {"DrainGraceUs": 2_000_000},
 }
 
@@ -143,8 +175,13 @@
                 key, _, value = line.partition(":")
                 headers[key.lower()] = value.strip()
             body = stream.read(int(headers["content-length"])).decode()
-            fields = {"body": body, "cseq": headers.get("cseq", ""), "why": headers.get("reason", ""),
-                      "gap": headers.get("p-gap-ms", ""), "reason": first[2].strip()}
+            fields = {
+                "body": body,
+                "cseq": headers.get("cseq", ""),
+                "why": headers.get("reason", ""),
+                "gap": headers.get("p-gap-ms", ""),
+                "reason": first[2].strip(),
+            }
             kind = first[1] if first[0] == "RTSP/1.0" else first[0]
             self.heard.put((kind, name(headers.get("session", "")), fields))
 
@@ -160,9 +197,13 @@
         if "cause" in fields:
             headers["Reason"] = f"cause={fields['cause']}"
         body = fields.get("body", "")
-        lines = [f"{kind} rtsp://media/{fields.get('title', 'aa00')} RTSP/1.0",
-                 *(f"{key}: {value}" for key, value in headers.items() if value),
-                 f"Content-Length: {len(body)}", "", body]
+        lines = [
+            f"{kind} rtsp://media/{fields.get('title', 'aa00')} RTSP/1.0",
+            *(f"{key}: {value}" for key, value in headers.items() if value),
+            f"Content-Length: {len(body)}",
+            "",
+            body,
+        ]
         self.socket.sendall("\r\n".join(lines).encode())
 
     def close(self, how: str = "") -> None:
@@ -180,9 +221,13 @@
     path = f"home:{fields.get('home', '0')};copies:{fields.get('copies', '1')};top:2;viewer:{int(fields.get('viewer', 'aa'), 16):016x}"
     path += f";again:{fields['again']}" if "again" in fields else ""
     tenant = {"P-Billed": fields["tenant"]} if "tenant" in fields else {}
-    return {**tenant, "P-Kind": fields.get("kind", "clip"), "P-Time-Left": fields.get("left", "3000"),
-            "P-Path": fields.get("path", path) + (f";at:s-{fields['at']}" if "at" in fields else ""),
-            "X-Length": fields.get("length", "20000.0")}
+    return {
+        **tenant,
+        "P-Kind": fields.get("kind", "clip"),
+        "P-Time-Left": fields.get("left", "3000"),
+        "P-Path": fields.get("path", path) + (f";at:s-{fields['at']}" if "at" in fields else ""),
+        "X-Length": fields.get("length", "20000.0"),
+    }
 
 
 class Edge(Actor):
@@ -257,8 +302,8 @@
             frame = stream.read(struct.unpack(">H", head)[0])
             fields, at = {}, 9
             while at < len(frame):
-                length = struct.unpack(">H", frame[at + 1:at + 3])[0]
-                value = frame[at + 3:at + 3 + length]
+                length = struct.unpack(">H", frame[at + 1 : at + 3])[0]
+                value = frame[at + 3 : at + 3 + length]
                 key = next(key for key, code in CODES.items() if code == frame[at])
                 fields[key] = str(value[0]) if key == "cause" else value.decode()
                 at += 3 + length
@@ -402,7 +447,9 @@
         return 200, {}, body
 
     def update(self, full: bool, servers: list[Any]) -> None:
-        self.tell({"index": len(self.events) + 1, "endpoints": {"version": 1, "full": full, "servers": servers}})
+        self.tell(
+            {"index": len(self.events) + 1, "endpoints": {"version": 1, "full": full, "servers": servers}}
+        )
 
     def send(self, kind: str, session: str, fields: dict[str, str]) -> None:
         entry = self.world.entry(kind, fields["state"], fields.get("address", kind))
@@ -455,7 +502,8 @@
             "SETUP": ("POST", f"/media/{fields.get('title', 'aa00')}", set_up(fields)),
             "HINT": ("POST", f"/sessions/{number(session)}", {}),
             "WAIT": ("GET", f"/sessions/{number(session)}", {}),
-            "TEARDOWN": ("DELETE", f"/sessions/{number(session)}", {}), "READY": ("GET", "/ready", {}),
+            "TEARDOWN": ("DELETE", f"/sessions/{number(session)}", {}),
+            "READY": ("GET", "/ready", {}),
             "RENEW": ("PUT", f"/sessions/{number(session)}/token", {}),
         }[kind]
         if "token" in fields:
@@ -540,31 +588,51 @@
 class World:
     """A running broker with all that it talks to."""
 
-    def __init__(self, hints: bool = False, seed: int = 1, family: dict[str, Any] | None = None,
-                 limits: dict[str, int] | None = None, node: type[Node] = Node,
-                 cells: dict[str, str] | None = None, seats: str | None = None,
-                 command: list[str] | None = None, rules: dict[str, Any] | None = None, debug: bool = False,
-                 **states: str) -> None:
+    def __init__(
+        self,
+        hints: bool = False,
+        seed: int = 1,
+        family: dict[str, Any] | None = None,
+        limits: dict[str, int] | None = None,
+        node: type[Node] = Node,
+        cells: dict[str, str] | None = None,
+        seats: str | None = None,
+        command: list[str] | None = None,
+        rules: dict[str, Any] | None = None,
+        debug: bool = False,
+        **states: str,
+    ) -> None:
         self.states = states or {"e0": "up"}
         self.actors: dict[str, Any] = {"c": Coordinator(self, "c")}
         for label, state in self.states.items():
             self.actors[label] = node(self, label) if label[0] == "n" else Edge(self, label, state)
-        self.actors["c"].update(True, [self.entry(label, state, label) for label, state in self.states.items()])
+        self.actors["c"].update(
+            True, [self.entry(label, state, label) for label, state in self.states.items()]
+        )
         self.folder = tempfile.TemporaryDirectory()
-        settings = {**SETTINGS, "FamilyInfo": {**SETTINGS["FamilyInfo"], **(family or {})},
-                    "Limits": {**SETTINGS["Limits"], **(rules or {})}}
+        settings = {
+            **SETTINGS,
+            "FamilyInfo": {**SETTINGS["FamilyInfo"], **(family or {})},
+            "Limits": {**SETTINGS["Limits"], **(rules or {})},
+        }
         config = self.config = Path(self.folder.name, "config.json")
         self.told = {
-            "name": "n0", "listen": "127.0.0.1:0", "seed": f"{seed:x}", "settings": settings,
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "seed": f"{seed:x}",
+            "settings": settings,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, **(limits or {})},
             "coordinator": self.actors["c"].address,
-            "known": {"index": 1, "updates": self.actors["c"].events[:1]}}
+            "known": {"index": 1, "updates": self.actors["c"].events[:1]},
+        }
         config.write_text(json.dumps(self.told))
         command = [*(command or [sys.executable, "-m", "lotuspick", "serve"])]
         if debug:
             command += ["--log-level", "debug"]
         if hints:
-            nodes = [f'"s-{label}" = "{actor.address}"' for label, actor in self.actors.items() if label[0] == "n"]
+            nodes = [
+                f'"s-{label}" = "{actor.address}"' for label, actor in self.actors.items() if label[0] == "n"
+            ]
             front = Path(self.folder.name, "hints.toml")
             front.write_text("\n".join(["enabled = true", 'listen = "127.0.0.1:0"', "[nodes]", *nodes]))
             command += ["--hints", str(front)]
@@ -604,8 +672,17 @@
         if seat == "bad":
             return "a.b.c"
         now = int(time.time())
-        made = Seat(seat, f"{int(fields.get('viewer', 'aa'), 16):016x}", fields.get("tenant", "law"),
-                    fields.get("title", "aa00"), "exam", now, now, now + int(fields.get("good", "600")), int(epoch or 0))
+        made = Seat(
+            seat,
+            f"{int(fields.get('viewer', 'aa'), 16):016x}",
+            fields.get("tenant", "law"),
+            fields.get("title", "aa00"),
+            "exam",
+            now,
+            now,
+            now + int(fields.get("good", "600")),
+            int(epoch or 0),
+        )
         kid = next(key.kid for key in self.keys.load().values() if not key.withdrawn)
         return sign(made, "site", kid, self.keys.private(kid))
 
@@ -613,8 +690,16 @@
         Path(self.folder.name, "cells.toml").write_text("enabled = true\n" + self.cells[name])
 
     def entry(self, label: str, state: str, address: str) -> dict[str, Any]:
-        return {"id": f"s-{label}", "addr": self.actors[address].address, "zone": "a", "kind": "box",
-                "cell": int(label[1:]) % 4, "state": STATES.get(state, state), "weight": 1, "started_ms": 0}
+        return {
+            "id": f"s-{label}",
+            "addr": self.actors[address].address,
+            "zone": "a",
+            "kind": "box",
+            "cell": int(label[1:]) % 4,
+            "state": STATES.get(state, state),
+            "weight": 1,
+            "started_ms": 0,
+        }
 
     def actor(self, label: str) -> Any:
         if label not in self.actors:
--- a/tests/stepped.py
+++ b/tests/stepped.py
@@ -40,14 +40,34 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         path = Path(folder.name, "config.json")
-        entry = {"id": "s-e0", "addr": f"127.0.0.1:{self.edge.getsockname()[1]}", "zone": "a", "kind": "box", "cell": 0,
-                 "state": "in_service", "weight": 1, "started_ms": 0}
-        path.write_text(json.dumps({
-            "name": "n0", "listen": "127.0.0.1:0", "seed": "1", "settings": SETTINGS,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "coordinator": f"127.0.0.1:{self.coordinator.getsockname()[1]}",
-            "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"version": 1, "full": True, "servers": [entry]}}]},
-        }))
+        entry = {
+            "id": "s-e0",
+            "addr": f"127.0.0.1:{self.edge.getsockname()[1]}",
+            "zone": "a",
+            "kind": "box",
+            "cell": 0,
+            "state": "in_service",
+            "weight": 1,
+            "started_ms": 0,
+        }
+        path.write_text(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": "127.0.0.1:0",
+                    "seed": "1",
+                    "settings": SETTINGS,
+                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+                    "coordinator": f"127.0.0.1:{self.coordinator.getsockname()[1]}",
+                    "known": {
+                        "index": 1,
+                        "updates": [
+                            {"index": 1, "endpoints": {"version": 1, "full": True, "servers": [entry]}}
+                        ],
+                    },
+                }
+            )
+        )
         front = Path(folder.name, "hints.toml")
         front.write_text('enabled = true\nlisten = "127.0.0.1:0"\n')
         files = Files(path, front if self.hints else None)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -25,13 +25,16 @@
 DISCOVERY Form=cached Revision=1 List=0
 EOF_BATCH
 """
-KNOCK = ("KNOCK Tid=r-1 Copies=2 CeilingRung=1 Entity=0a Cls=clip DropDeadUs=5000000 FirstCell=0 Show=0b "
-         "WorkUs=9000000 Novel=1\n")
+KNOCK = (
+    "KNOCK Tid=r-1 Copies=2 CeilingRung=1 Entity=0a Cls=clip DropDeadUs=5000000 FirstCell=0 Show=0b "
+    "WorkUs=9000000 Novel=1\n"
+)
 
 
 def run(text: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "lotuspick.adapter"], input=text, capture_output=True, text=True,
-                          check=False)
+    return subprocess.run(
+        [sys.executable, "-m", "lotuspick.adapter"], input=text, capture_output=True, text=True, check=False
+    )
 
 
 def test_request_is_sent_and_each_batch_answered() -> None:
@@ -47,12 +50,18 @@
     assert run(OPEN).returncode == 0
 
 
-@pytest.mark.parametrize(("line", "wrong"), [
-    ("KNOCK Tid", "not name=value"), ("KNOCK Tid=r-1", "Cls is missing"), ("BOGUS A=1", "unknown message"),
-    (KNOCK.strip().replace("5000000", "soon"), "DropDeadUs is not a whole number"),
-    ("RESOLVED Tid=r-1 Shot=0 Host=h Outcome=odd", "unknown Outcome"), ("DISCOVERY Form=full List=9", "never sent"),
-    (KNOCK.strip().replace("Copies=2", "Copies=0"), "copies must be above 0"),
-])
+@pytest.mark.parametrize(
+    ("line", "wrong"),
+    [
+        ("KNOCK Tid", "not name=value"),
+        ("KNOCK Tid=r-1", "Cls is missing"),
+        ("BOGUS A=1", "unknown message"),
+        (KNOCK.strip().replace("5000000", "soon"), "DropDeadUs is not a whole number"),
+        ("RESOLVED Tid=r-1 Shot=0 Host=h Outcome=odd", "unknown Outcome"),
+        ("DISCOVERY Form=full List=9", "never sent"),
+        (KNOCK.strip().replace("Copies=2", "Copies=0"), "copies must be above 0"),
+    ],
+)
 def test_malformed_line_is_named_and_ends_the_process(line: str, wrong: str) -> None:
     done = run(f"{OPEN}ROUND TimeUs=1010000\nTO I=3\n{line}\nEOF_BATCH\n")
     assert done.returncode == 2 and wrong in done.stderr and "line 11" in done.stderr
@@ -67,8 +76,10 @@
 def test_faults_of_one_instance_are_told_on_the_wire_and_leave_others_alone() -> None:
     bad = f"TO I=4\nOPEN_INSTANCE Salt=5 {PAIRS.replace('FamilyInfo.Cells=2 ', '')}\n"
     odd = KNOCK.replace("clip", "nosuch")
-    done = run(OPEN.replace("TO I=3\n", bad + "TO I=3\n")
-               + f"ROUND TimeUs=1010000\nTO I=3\n{KNOCK}EOF_BATCH\nROUND TimeUs=1020000\nTO I=3\n{odd}EOF_BATCH\n")
+    done = run(
+        OPEN.replace("TO I=3\n", bad + "TO I=3\n")
+        + f"ROUND TimeUs=1010000\nTO I=3\n{KNOCK}EOF_BATCH\nROUND TimeUs=1020000\nTO I=3\n{odd}EOF_BATCH\n"
+    )
     replies = done.stdout.split("NEXT\n")
     assert "ON_BEHALF I=4\nBUG ReasonText=settings: FamilyInfo.Cells is missing" in replies[0]
     assert "PLACE Tid=r-1" in replies[1]
@@ -76,9 +87,11 @@
 
 
 def test_late_events_and_unknown_columns_are_passed_over() -> None:
-    late = ("RESOLVED Tid=r-9 Shot=0 Host=h0:1 Outcome=delivered NoMore=1 TookUs=1 Metrics=x0:nan,x7:1,x0\n"
-            "PROGRESS Tid=r-9 Shot=0 Host=h9:1 Topic=3 Level=0.5\nPROGRESS Tid=r-9 Shot=0 Host=h0:1 Topic=8 Level=x\n"
-            "TIMED_OUT_CLIENT Tid=r-9\nWAKE Handle=99\nUNDER_WAY Tid=r-9 Host=h0:1 TookUs=5 Shot=0\n")
+    late = (
+        "RESOLVED Tid=r-9 Shot=0 Host=h0:1 Outcome=delivered NoMore=1 TookUs=1 Metrics=x0:nan,x7:1,x0\n"
+        "PROGRESS Tid=r-9 Shot=0 Host=h9:1 Topic=3 Level=0.5\nPROGRESS Tid=r-9 Shot=0 Host=h0:1 Topic=8 Level=x\n"
+        "TIMED_OUT_CLIENT Tid=r-9\nWAKE Handle=99\nUNDER_WAY Tid=r-9 Host=h0:1 TookUs=5 Shot=0\n"
+    )
     done = run(f"{OPEN}ROUND TimeUs=1010000\nTO I=3\n{late}EOF_BATCH\n")
     assert done.returncode == 0 and done.stdout.endswith("NEXT\nNEXT\n")
 
@@ -96,11 +109,19 @@
         read_settings(pairs)
 
 
-@pytest.mark.parametrize(("key", "text"), [
-    ("FamilyInfo.LevelKb", "100.0,much"), ("FamilyInfo.WorthByRung", "nan,1.0"), ("FamilyInfo.ClassFloor", "low,0"),
-    ("FamilyInfo.ClassScale", "inf,1"), ("FamilyInfo.Seats", "1,x"), ("FamilyInfo.PlacesByKind", "many"),
-    ("GroupSize", "all"), ("Invariants.ColdFrom", "nan"),
-])
+@pytest.mark.parametrize(
+    ("key", "text"),
+    [
+        ("FamilyInfo.LevelKb", "100.0,much"),
+        ("FamilyInfo.WorthByRung", "nan,1.0"),
+        ("FamilyInfo.ClassFloor", "low,0"),
+        ("FamilyInfo.ClassScale", "inf,1"),
+        ("FamilyInfo.Seats", "1,x"),
+        ("FamilyInfo.PlacesByKind", "many"),
+        ("GroupSize", "all"),
+        ("Invariants.ColdFrom", "nan"),
+    ],
+)
 def test_bad_setting_is_told_by_key_and_value(key: str, text: str) -> None:
     pairs = {**dict(pair.split("=") for pair in PAIRS.split(" ")), key: text}
     bad = next(part for part in text.split(",") if part not in ("100.0", "1.0", "0", "1"))
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -27,7 +27,10 @@
     assert not of(made.handle(NOW, [request("a", NOW)]), Send)
     until = made.sessions["a"].hold_until
     assert until < NOW + 4 * SECOND
-    assert [each.session for each in of(made.handle(until, [TimerFired(token) for token in list(made.timers)]), Refuse)] == ["a"]
+    assert [
+        each.session
+        for each in of(made.handle(until, [TimerFired(token) for token in list(made.timers)]), Refuse)
+    ] == ["a"]
 
 
 def test_more_racks_than_servers() -> None:
@@ -58,7 +61,9 @@
     made = controller(count=2)
     server, _ = place(made, NOW, "a", copies=2) or ("", 0)
     made.handle(NOW, [ServerList([entry(1 - int(server[1:]))], complete=True)])
-    made.handle(NOW, [Note("a", server, "link", 0.1), Note("a", server, "share", 0.1), Note("z", "s77", "link", 0.1)])
+    made.handle(
+        NOW, [Note("a", server, "link", 0.1), Note("a", server, "share", 0.1), Note("z", "s77", "link", 0.1)]
+    )
     made.handle(NOW + 1, [Ended("a", 0, server, "lost")])
     assert all(place(made, NOW + SECOND + n, f"r{n}", copies=2) != server for n in range(4))
 
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -64,7 +64,10 @@
     def test_each_fault_names_its_key(self) -> None:
         for text, wanted in (
             ("", "cells: no cell is named"),
-            ("[cells.a]\nnetworks = ['10.0.0.0/8', '10.0.0.0/40']", r"cells\.a\.networks\[1\]: not a network"),
+            (
+                "[cells.a]\nnetworks = ['10.0.0.0/8', '10.0.0.0/40']",
+                r"cells\.a\.networks\[1\]: not a network",
+            ),
             ("[cells.a]\nspill = ['b']\n[cells.b]\nspill = ['a']", r"cells\.\w\.spill: a cycle"),
             ("[cells.a]\nspill = ['z']", r"cells\.a\.spill: no cell is named 'z'"),
             ("[cells.a]\nweight = 'two'", r"cells\.a\.weight must be a number above 0"),
@@ -81,11 +84,22 @@
             ("[budgets.tenant]\njitter = 2\n[cells.a]", r"budgets\.tenant\.jitter must be .* at most 1"),
             ("[[assign]]\ntenant = 't'\n[cells.a]", r"assign\[0\]\.cell is missing"),
             ("[[moves]]\ntenant = 't'\nto = 'a'\nepoch = 1\n[cells.a]", r"moves\[0\]\.start is missing"),
-            ("[[moves]]\ntenant = 't*'\nto = 'a'\nepoch = 1\nstart = 9\n[cells.a]", r"moves\[0\]\.tenant must be one"),
-            ("[[moves]]\ntenant = 't'\nto = 'a'\nepoch = 1\nstart = 2026-12-01T18:00:00\n[cells.a]", r"moves\[0\]\.start must"),
-            ("[[moves]]\ntenant='t'\nto='a'\nepoch=2\nstart=9\n[[moves]]\ntenant='t'\nto='a'\nepoch=2\nstart=9\n[cells.a]",
-             r"moves\[1\]\.epoch must be above"),
-            ("[[moves]]\ntenant='t'\nto='a'\nepoch=1\nstart=9\npauses=[[20],[30]]\n[cells.a]", r"moves\[0\]\.pauses\[0\] has no end"),
+            (
+                "[[moves]]\ntenant = 't*'\nto = 'a'\nepoch = 1\nstart = 9\n[cells.a]",
+                r"moves\[0\]\.tenant must be one",
+            ),
+            (
+                "[[moves]]\ntenant = 't'\nto = 'a'\nepoch = 1\nstart = 2026-12-01T18:00:00\n[cells.a]",
+                r"moves\[0\]\.start must",
+            ),
+            (
+                "[[moves]]\ntenant='t'\nto='a'\nepoch=2\nstart=9\n[[moves]]\ntenant='t'\nto='a'\nepoch=2\nstart=9\n[cells.a]",
+                r"moves\[1\]\.epoch must be above",
+            ),
+            (
+                "[[moves]]\ntenant='t'\nto='a'\nepoch=1\nstart=9\npauses=[[20],[30]]\n[cells.a]",
+                r"moves\[0\]\.pauses\[0\] has no end",
+            ),
         ):
             with self.subTest(text), self.assertRaisesRegex(PlanError, wanted):
                 parse(tomllib.loads(text))
@@ -95,10 +109,17 @@
             tomllib.loads("[cells.a]\n[cells.a]")
 
     def test_nodes_are_chosen_by_id_or_by_all_other_keys_together(self) -> None:
-        cell = parse(tomllib.loads("[cells.a]\nnodes=['x-*']\nzones=['n']\nkinds=['k']\nnetworks=['10.1.0.0/16']")).cells["a"]
+        cell = parse(
+            tomllib.loads("[cells.a]\nnodes=['x-*']\nzones=['n']\nkinds=['k']\nnetworks=['10.1.0.0/16']")
+        ).cells["a"]
         for given_, wanted in ((("x-1", "s", "z", 0), True), (("y", "n", "k", 0), False)):
             self.assertEqual(cell.selector.picks(ServerEntry(*given_)), wanted)
-        for address, wanted in (("10.1.2.3:80", True), ("10.2.0.1:80", False), ("name:80", False), ("", False)):
+        for address, wanted in (
+            ("10.1.2.3:80", True),
+            ("10.2.0.1:80", False),
+            ("name:80", False),
+            ("", False),
+        ):
             self.assertEqual(cell.selector.picks(ServerEntry("y", "n", "k", 0, address=address)), wanted)
 
 
@@ -118,7 +139,9 @@
     @given(st.sets(st.integers(0, 40), min_size=1, max_size=20), st.integers(0, 40))
     def test_a_node_that_joins_or_goes_touches_one_cell(self, there: set[int], more: int) -> None:
         cells = "".join(f"[cells.h{at}]\nshuffle = 3\n" for at in range(4))
-        one, two = (Atlas(plan(cells=cells), 41, [entry(at) for at in nodes]) for nodes in (there, there | {more}))
+        one, two = (
+            Atlas(plan(cells=cells), 41, [entry(at) for at in nodes]) for nodes in (there, there | {more})
+        )
         cell = two.cell[f"s{more}"]
         for name, nodes in one.nodes.items():
             self.assertEqual(two.nodes[name], nodes | {f"s{more}"} if name == cell else nodes)
@@ -136,7 +159,9 @@
         self.assertEqual(whole.room("a", "t", 2, 4), parts.room("a", "t", 2, 4))
 
     def test_a_lesson_that_straddles_cells_finds_them_too_small(self) -> None:
-        atlas = Atlas(plan(cells=CELLS + "[cells.d]\nnodes = ['none']\nsmall = 'spill'\nspill = ['b', 'c']"), COUNT)
+        atlas = Atlas(
+            plan(cells=CELLS + "[cells.d]\nnodes = ['none']\nsmall = 'spill'\nspill = ['b', 'c']"), COUNT
+        )
         atlas.roster(roster())
         room = atlas.room("a", "t", 2, 4)
         self.assertEqual((room.own, room.short), ({"s2", "s3"}, True))
@@ -153,7 +178,10 @@
         self.assertEqual(draw(["a", "b"], 3, "k"), {"a", "b"})
 
     def test_nameless_requests_and_weights(self) -> None:
-        atlas = Atlas(plan("nameless = 'c'\n[[assign]]\ntenant = 'big*'\ntitle = 'alg*'\ncell = 'b'\nweight = 2\n"), COUNT)
+        atlas = Atlas(
+            plan("nameless = 'c'\n[[assign]]\ntenant = 'big*'\ntitle = 'alg*'\ncell = 'b'\nweight = 2\n"),
+            COUNT,
+        )
         self.assertEqual(atlas.base("", "x")[0], "c")
         self.assertEqual(atlas.base("big1", "algebra"), ("b", 2.0))
         self.assertEqual(atlas.weights, {"b": 2.0})
@@ -166,15 +194,35 @@
 
 class Moving(unittest.TestCase):
     def test_stages_by_the_clock_alone(self) -> None:
-        at = [(-1, Stage.DECLARED), (5, Stage.PREPARED), (60, Stage.SHIFTING), (111, Stage.DRAINING), (161, Stage.DONE)]
+        at = [
+            (-1, Stage.DECLARED),
+            (5, Stage.PREPARED),
+            (60, Stage.SHIFTING),
+            (111, Stage.DRAINING),
+            (161, Stage.DONE),
+        ]
         self.assertEqual([moves.stage(MOVE, NOW + s * SECOND) for s, _ in at], [stage for _, stage in at])
         self.assertAlmostEqual(moves.share(MOVE, NOW + 60 * SECOND), 0.5)
 
     def test_pauses_and_rollback(self) -> None:
-        paused = Move("t", "b", 1, NOW, 0, 100 * SECOND, 50 * SECOND, ((NOW + 30 * SECOND, NOW + 50 * SECOND),),
-                      NOW + 70 * SECOND)
-        at = [(40, Stage.PAUSED, 0.3), (60, Stage.SHIFTING, 0.4), (90, Stage.RETURNING, 0.3), (125, Stage.EMPTYING, 0.0),
-              (180, Stage.UNDONE, 0.0)]
+        paused = Move(
+            "t",
+            "b",
+            1,
+            NOW,
+            0,
+            100 * SECOND,
+            50 * SECOND,
+            ((NOW + 30 * SECOND, NOW + 50 * SECOND),),
+            NOW + 70 * SECOND,
+        )
+        at = [
+            (40, Stage.PAUSED, 0.3),
+            (60, Stage.SHIFTING, 0.4),
+            (90, Stage.RETURNING, 0.3),
+            (125, Stage.EMPTYING, 0.0),
+            (180, Stage.UNDONE, 0.0),
+        ]
         for second, stage, share in at:
             self.assertIs(moves.stage(paused, NOW + second * SECOND), stage)
             self.assertAlmostEqual(moves.share(paused, NOW + second * SECOND), share)
@@ -186,9 +234,19 @@
 
     @given(st.integers(-20, 400), st.integers(0, 100), st.integers(0, 60), st.none() | st.integers(0, 300))
     def test_share_is_within_bounds_and_moves_no_faster_than_stated(
-            self, second: int, begin: int, long: int, back: int | None) -> None:
-        move = Move("t", "b", 1, NOW, 10 * SECOND, 100 * SECOND, 50 * SECOND,
-                    ((NOW + begin * SECOND, NOW + (begin + long) * SECOND),), NOW + back * SECOND if back is not None else 0)
+        self, second: int, begin: int, long: int, back: int | None
+    ) -> None:
+        move = Move(
+            "t",
+            "b",
+            1,
+            NOW,
+            10 * SECOND,
+            100 * SECOND,
+            50 * SECOND,
+            ((NOW + begin * SECOND, NOW + (begin + long) * SECOND),),
+            NOW + back * SECOND if back is not None else 0,
+        )
         one, two = (moves.share(move, NOW + at * SECOND) for at in (second, second + 1))
         self.assertTrue(0 <= one <= 1)
         self.assertLessEqual(abs(two - one), 0.01 + 1e-9)
@@ -202,11 +260,14 @@
             [[moves]]\ntenant = "t"\nto = "c"\nepoch = 2\nstart = 150\nprepare_s = 0\nshift_s = 100\nback = 200
             """
         atlas = Atlas(plan(text), COUNT)
+
         def split(second: int) -> set[str]:
             return {atlas.home("t", "", f"v{at}", False, second * SECOND) for at in range(300)}
 
-        self.assertEqual([split(second) for second in (99, 130, 180, 210, 251)],
-                         [{"a"}, {"a", "b"}, {"a", "b", "c"}, {"b", "c"}, {"b"}])
+        self.assertEqual(
+            [split(second) for second in (99, 130, 180, 210, 251)],
+            [{"a"}, {"a", "b"}, {"a", "b", "c"}, {"b", "c"}, {"b"}],
+        )
         self.assertEqual(set(atlas.moving("t", "", 180 * SECOND)), {"a", "b", "c"})
 
 
@@ -264,7 +325,9 @@
 
 class Guided(unittest.TestCase):
     def ask(self, made: CellsGuide, session: str, now: int = NOW, **changes: Any) -> Any:
-        return made.bounds(now, request(session, now, **{"tenant": "t", "copies": COUNT, "viewer": session, **changes}))
+        return made.bounds(
+            now, request(session, now, **{"tenant": "t", "copies": COUNT, "viewer": session, **changes})
+        )
 
     def test_a_storm_leaves_the_other_tenants_of_its_cell_their_budget(self) -> None:
         made = guide(plan(ASSIGNED))
@@ -290,8 +353,12 @@
         for at in range(8):
             made.told(NOW, Ended(f"s{at}", 0, "s0", "lost", final=True))
             self.assertEqual(self.ask(made, f"again{at}", viewer=f"v{at}", returned=True).reason, "")
-        self.assertEqual(self.ask(made, "free", viewer="v0", returned=True).reason, "")  # one is always allowed
-        self.assertNotEqual([self.ask(made, f"more{at}", viewer="v0", returned=True).reason for at in range(9)][-1], "")
+        self.assertEqual(
+            self.ask(made, "free", viewer="v0", returned=True).reason, ""
+        )  # one is always allowed
+        self.assertNotEqual(
+            [self.ask(made, f"more{at}", viewer="v0", returned=True).reason for at in range(9)][-1], ""
+        )
 
     def test_further_attempts_are_of_the_same_budget(self) -> None:
         made = guide(plan(ASSIGNED))
@@ -302,7 +369,9 @@
         for at in range(12):
             made.told(NOW, Ended(f"s{at}", 0, "s0", "full"))
             outcomes.append(self.ask(made, f"s{at}").reason)
-            made.told(NOW, Refuse(f"s{at}", 0, outcomes[-1]) if outcomes[-1] else Send(f"s{at}", "s1", SECOND))
+            made.told(
+                NOW, Refuse(f"s{at}", 0, outcomes[-1]) if outcomes[-1] else Send(f"s{at}", "s1", SECOND)
+            )
         self.assertEqual(outcomes[0], "")
         self.assertEqual(outcomes.count(""), 7)  # floor 1 and half of 12 first tries
 
@@ -314,6 +383,7 @@
 
     def test_a_part_binds_only_while_the_cell_is_contended(self) -> None:
         made = guide(plan(ASSIGNED.replace('cell = "a"', 'cell = "a"\nweight = 1')))
+
         def stand(count: int, tenant: str) -> list[str]:
             reasons = []
             for at in range(count):
@@ -331,8 +401,11 @@
         self.assertEqual(self.ask(made, "calm", later + 10 * SECOND).reason, "")
 
     def test_a_cell_too_small_by_each_policy(self) -> None:
-        for policy, more, servers in (("widen", "", {"s2", "s3", "s4"}), ("refuse", "", None),
-                                      ("spill", "spill = ['c', 'b']", {"s2", "s3", "s4"})):
+        for policy, more, servers in (
+            ("widen", "", {"s2", "s3", "s4"}),
+            ("refuse", "", None),
+            ("spill", "spill = ['c', 'b']", {"s2", "s3", "s4"}),
+        ):
             cells = CELLS.replace("[cells.a]", f"[cells.a]\nelsewhere = 0.5\nsmall = '{policy}'\n{more}")
             made = guide(plan(ASSIGNED, cells))
             bounds = self.ask(made, "x", home=2, copies=3)
@@ -343,7 +416,9 @@
                 for at in range(3):
                     self.ask(made, f"y{at}", home=2, copies=3)
                     made.told(NOW, Send(f"y{at}", "s4", SECOND))
-                self.assertEqual(self.ask(made, "z", home=2, copies=3).servers, {"s2", "s3"})  # the share is used up
+                self.assertEqual(
+                    self.ask(made, "z", home=2, copies=3).servers, {"s2", "s3"}
+                )  # the share is used up
 
     def test_a_cell_that_loses_its_last_node_says_so_and_follows_its_policy(self) -> None:
         made = guide(plan(ASSIGNED))
@@ -356,7 +431,10 @@
         self.assertEqual(made.news()[-1].what, "cell large enough")
 
     def test_standing_sessions_count_in_both_cells_until_the_deadline(self) -> None:
-        text = ASSIGNED + '[[moves]]\ntenant = "t"\nto = "b"\nepoch = 1\nstart = 110\nprepare_s = 5\nshift_s = 10\ndrain_s = 50\n'
+        text = (
+            ASSIGNED
+            + '[[moves]]\ntenant = "t"\nto = "b"\nepoch = 1\nstart = 110\nprepare_s = 5\nshift_s = 10\ndrain_s = 50\n'
+        )
         made = guide(plan("epoch = 2\n" + text))
         self.ask(made, "x")
         made.told(NOW, Send("x", "s0", SECOND))
@@ -368,11 +446,17 @@
             seen.append(made.held["x"].cells)
         self.assertEqual(seen, [("a",), ("a",), ("a", "b"), ("a", "b"), ("a",)])
         self.assertEqual(self.ask(made, "y", 181 * SECOND, viewer="x").servers, {"s4", "s5", "s6", "s7"})
-        self.assertEqual([each.fields["stage"] for each in made.news() if each.what == "move"],
-                         ["declared", "prepared", "shifting", "draining", "done"])
+        self.assertEqual(
+            [each.fields["stage"] for each in made.news() if each.what == "move"],
+            ["declared", "prepared", "shifting", "draining", "done"],
+        )
 
     def test_a_broker_that_starts_in_mid_move_finds_the_same_stage(self) -> None:
-        text = 'epoch = 3\n' + ASSIGNED + '[[moves]]\ntenant = "t"\nto = "b"\nepoch = 1\nstart = 100\nprepare_s = 0\nshift_s = 100\n'
+        text = (
+            "epoch = 3\n"
+            + ASSIGNED
+            + '[[moves]]\ntenant = "t"\nto = "b"\nepoch = 1\nstart = 100\nprepare_s = 0\nshift_s = 100\n'
+        )
         old, new = guide(plan(text)), guide(plan(text))
         old.bounds(90 * SECOND, request("early", 90 * SECOND, tenant="t", copies=COUNT))
         for at in range(60):
@@ -391,8 +475,10 @@
         made.told(NOW, Started("x", 0, "s0"))
         self.assertEqual(made.held["x"].cells, ("z",))
         made.told(NOW, Ended("x", 0, "s0", "served", final=True))
-        self.assertEqual({name: (state.account.open, state.account.uses) for name, state in made.states.items()},
-                         {"z": (0, {}), "b": (0, {}), "c": (0, {})})
+        self.assertEqual(
+            {name: (state.account.open, state.account.uses) for name, state in made.states.items()},
+            {"z": (0, {}), "b": (0, {}), "c": (0, {})},
+        )
 
     def test_lines_on_one_matter_are_bounded(self) -> None:
         made = guide(plan(ASSIGNED))
@@ -405,23 +491,38 @@
 
 class Core(unittest.TestCase):
     def test_a_paid_attempt_of_unknown_fate_fails_though_its_tenant_moves(self) -> None:
-        text = ASSIGNED + '[[moves]]\ntenant = "t"\nto = "b"\nepoch = 1\nstart = 101\nprepare_s = 0\nshift_s = 0\n'
+        text = (
+            ASSIGNED
+            + '[[moves]]\ntenant = "t"\nto = "b"\nepoch = 1\nstart = 101\nprepare_s = 0\nshift_s = 0\n'
+        )
         cells = guide(plan(text))
-        made = Controller(settings(positions=COUNT, retry_after=True, max_retry_after_us=9 * SECOND), 7, cells)
+        made = Controller(
+            settings(positions=COUNT, retry_after=True, max_retry_after_us=9 * SECOND), 7, cells
+        )
         made.handle(0, [roster()])
         for name, outcome, wanted in (("x", "lost", [Fail("x")]), ("y", "unreachable", [])):
             [sent] = of(made.handle(NOW, [request(name, NOW, cls="exam", tenant="t", copies=COUNT)]), Send)
             self.assertIn(sent.server, {"s0", "s1", "s2", "s3"})
             actions = made.handle(NOW + 2 * SECOND, [Ended(name, 0, sent.server, outcome)])
             self.assertEqual(of(actions, Fail), wanted)
-            self.assertEqual([each.server in {"s4", "s5", "s6", "s7"} for each in of(actions, Send)], [True] * (not wanted))
+            self.assertEqual(
+                [each.server in {"s4", "s5", "s6", "s7"} for each in of(actions, Send)], [True] * (not wanted)
+            )
 
     def test_brokers_with_different_epochs_both_keep_to_a_cell_of_the_tenant(self) -> None:
-        text = ASSIGNED + '[[moves]]\ntenant = "t"\nto = "b"\nepoch = 1\nstart = 50\nprepare_s = 0\nshift_s = 0\n'
-        for epoch, told, servers in ((1, ASSIGNED, {"s0", "s1", "s2", "s3"}), (2, text, {"s4", "s5", "s6", "s7"})):
+        text = (
+            ASSIGNED
+            + '[[moves]]\ntenant = "t"\nto = "b"\nepoch = 1\nstart = 50\nprepare_s = 0\nshift_s = 0\n'
+        )
+        for epoch, told, servers in (
+            (1, ASSIGNED, {"s0", "s1", "s2", "s3"}),
+            (2, text, {"s4", "s5", "s6", "s7"}),
+        ):
             made = Controller(settings(positions=COUNT), 7, guide(plan(f"epoch = {epoch}\n" + told)))
             made.handle(0, [roster()])
-            self.assertIn(of(made.handle(NOW, [request("x", NOW, tenant="t", copies=COUNT)]), Send)[0].server, servers)
+            self.assertIn(
+                of(made.handle(NOW, [request("x", NOW, tenant="t", copies=COUNT)]), Send)[0].server, servers
+            )
 
 
 class Sequences(RuleBasedStateMachine):
@@ -437,12 +538,29 @@
         names = [name for name, held in self.guide.held.items() if stands in (None, held.stands)]
         return data.draw(st.sampled_from(names)) if names else "nobody"
 
-    @rule(tenant=st.sampled_from(["t", "u", "", "w"]), viewer=st.integers(0, 9), returned=st.booleans(), moved=st.booleans(),
-          home=st.integers(0, 11), copies=st.integers(1, 6))
+    @rule(
+        tenant=st.sampled_from(["t", "u", "", "w"]),
+        viewer=st.integers(0, 9),
+        returned=st.booleans(),
+        moved=st.booleans(),
+        home=st.integers(0, 11),
+        copies=st.integers(1, 6),
+    )
     def ask(self, tenant: str, viewer: int, returned: bool, moved: bool, home: int, copies: int) -> None:
         self.made += 1
-        bounds = self.guide.bounds(self.now, request(f"q{self.made}", self.now, tenant=tenant, viewer=f"v{viewer}",
-                                                     returned=returned, moved=moved, home=home, copies=copies))
+        bounds = self.guide.bounds(
+            self.now,
+            request(
+                f"q{self.made}",
+                self.now,
+                tenant=tenant,
+                viewer=f"v{viewer}",
+                returned=returned,
+                moved=moved,
+                home=home,
+                copies=copies,
+            ),
+        )
         assert bool(bounds.reason) == (bounds.gap_us > 0) == (f"q{self.made}" not in self.guide.held)
         if not bounds.reason:
             assert bounds.servers is not None and bounds.servers <= self.guide.atlas.holders(home, copies)
@@ -451,15 +569,24 @@
     def send(self, data: st.DataObject, server: int) -> None:
         self.guide.told(self.now, Send(self.some(data, False), f"s{server}", SECOND))
 
-    @rule(data=st.data(), kind=st.sampled_from(["start", "full", "lost", "served", "refuse", "fail", "gone", "again"]))
+    @rule(
+        data=st.data(),
+        kind=st.sampled_from(["start", "full", "lost", "served", "refuse", "fail", "gone", "again"]),
+    )
     def told(self, data: st.DataObject, kind: str) -> None:
         name = self.some(data)
         node = self.guide.held[name].node if name in self.guide.held else "s0"
-        fact = {"start": Started(name, 0, node), "refuse": Refuse(name), "fail": Fail(name), "gone": ViewerGone(name)}.get(
-            kind, Ended(name, 0, node, kind, final=kind == "served", report={"link": 1.1}))
+        fact = {
+            "start": Started(name, 0, node),
+            "refuse": Refuse(name),
+            "fail": Fail(name),
+            "gone": ViewerGone(name),
+        }.get(kind, Ended(name, 0, node, kind, final=kind == "served", report={"link": 1.1}))
         if kind == "again" and name in self.guide.held and not self.guide.held[name].stands:
             self.guide.bounds(self.now, self.guide.held[name].ask)
-        elif kind != "again" and not (kind in ("refuse", "fail") and name in self.guide.held and self.guide.held[name].stands):
+        elif kind != "again" and not (
+            kind in ("refuse", "fail") and name in self.guide.held and self.guide.held[name].stands
+        ):
             self.guide.told(self.now, fact)
 
     @rule(seconds=st.integers(-3, 8))
@@ -474,11 +601,17 @@
     def playing(self, server: int) -> None:
         self.made += 1
         ask = request(f"p{self.made}", self.now, tenant="t")
-        self.guide.told(self.now, SessionPlaying(ask.session, ask.cls, ask.title, 0, 3, 3, ask.deadline_us, 1e6, "v", "t",
-                                                 server=f"s{server}"))
+        self.guide.told(
+            self.now,
+            SessionPlaying(
+                ask.session, ask.cls, ask.title, 0, 3, 3, ask.deadline_us, 1e6, "v", "t", server=f"s{server}"
+            ),
+        )
 
     @precondition(lambda self: self.made % 3 == 0)
-    @rule(cells=st.sampled_from([CELLS, CELLS.replace("cells.c", "cells.z"), CELLS + "[cells.y]\nshuffle = 1"]))
+    @rule(
+        cells=st.sampled_from([CELLS, CELLS.replace("cells.c", "cells.z"), CELLS + "[cells.y]\nshuffle = 1"])
+    )
     def take(self, cells: str) -> None:
         self.epoch += 1
         self.guide.take(plan(f"epoch = {self.epoch}\n" + ASSIGNED + self.moving, cells), self.now)
@@ -489,10 +622,15 @@
         for name, state in self.guide.states.items():
             assert state.account.uses.get(name, 0) == sum(name in each.cells for each in held)
             assert state.account.open == sum(each.home == name and not each.stands for each in held), name
-        for account in (*self.guide.accounts.accounts.values(), self.guide.accounts.others,
-                        *self.guide.accounts.named_accounts.values()):
+        for account in (
+            *self.guide.accounts.accounts.values(),
+            self.guide.accounts.others,
+            *self.guide.accounts.named_accounts.values(),
+        ):
             assert account.open == sum(each.tenant is account and not each.stands for each in held)
-            assert sum(account.uses.values()) == sum(len(each.cells) for each in held if each.tenant is account)
+            assert sum(account.uses.values()) == sum(
+                len(each.cells) for each in held if each.tenant is account
+            )
 
 
 TestSequences = Sequences.TestCase
--- a/tests/test_cells_live.py
+++ b/tests/test_cells_live.py
@@ -41,7 +41,9 @@
 tenant = "*"
 cell = "right"
 """
-MOVE = PLAN.replace("epoch = 1", "epoch = 2") + """
+MOVE = (
+    PLAN.replace("epoch = 1", "epoch = 2")
+    + """
 [[moves]]
 tenant = "calm"
 to = "right"
@@ -51,6 +53,7 @@
 shift_s = 0
 drain_s = 3e8
 """
+)
 STORM = """
     v1 send SETUP s1 tenant=storm viewer=1 copies=2
     e0 expect OPENED
@@ -75,8 +78,17 @@
 
 class Live(unittest.TestCase):
     def play(self, script: str, **world: Any) -> None:
-        made = World(cells={"first": PLAN, "moved": MOVE, "bad": "epoch = 3\n[cells.left]\nnetworks = ['10.0.0.0/64']",
-                            "old": PLAN.replace("epoch = 1", "epoch = 0")}, e0="up", e1="up", **world)
+        made = World(
+            cells={
+                "first": PLAN,
+                "moved": MOVE,
+                "bad": "epoch = 3\n[cells.left]\nnetworks = ['10.0.0.0/64']",
+                "old": PLAN.replace("epoch = 1", "epoch = 0"),
+            },
+            e0="up",
+            e1="up",
+            **world,
+        )
         self.addCleanup(made.end)
         made.play(script)
         self.assertNotIn("Traceback", "".join(made.broker.log))
@@ -123,8 +135,13 @@
     def test_the_plug_in_keeps_to_cells_and_follows_a_new_plan(self) -> None:
         now = 1_800_000_000 * SECOND  # after the start of the move
         guide, library, answers = CellsGuide(parse(tomllib.loads(PLAN)), 2), Library(), list[Answer]()
-        plugin = Plugin(settings(classes=CLASSES, positions=2, retry_after=True, max_retry_after_us=9 * SECOND), 7,
-                        library, clock=lambda: now, guide=guide)
+        plugin = Plugin(
+            settings(classes=CLASSES, positions=2, retry_after=True, max_retry_after_us=9 * SECOND),
+            7,
+            library,
+            clock=lambda: now,
+            guide=guide,
+        )
         plugin.servers(ServerList([entry(0), entry(1)], complete=True))
 
         def ask(session: str, **changes: Any) -> None:
@@ -151,15 +168,41 @@
         self.addCleanup(self.folder.cleanup)
         self.cells, self.config = Path(self.folder.name, "cells.toml"), Path(self.folder.name, "config.json")
         self.cells.write_text("# the operators' own words stay\n" + PLAN)
-        servers = [{"id": f"s-{at}", "addr": f"127.0.0.1:{at + 1}", "zone": "a", "kind": "box", "cell": at % 4,
-                    "state": "in_service"} for at in range(8)]
-        self.config.write_text(json.dumps({
-            "name": "n0", "listen": "127.0.0.1:0", "seed": "1", "settings": SETTINGS, "coordinator": "127.0.0.1:1",
-            "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"full": True, "servers": servers}}]}}))
+        servers = [
+            {
+                "id": f"s-{at}",
+                "addr": f"127.0.0.1:{at + 1}",
+                "zone": "a",
+                "kind": "box",
+                "cell": at % 4,
+                "state": "in_service",
+            }
+            for at in range(8)
+        ]
+        self.config.write_text(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": "127.0.0.1:0",
+                    "seed": "1",
+                    "settings": SETTINGS,
+                    "coordinator": "127.0.0.1:1",
+                    "known": {
+                        "index": 1,
+                        "updates": [{"index": 1, "endpoints": {"full": True, "servers": servers}}],
+                    },
+                }
+            )
+        )
 
     def run_it(self, *words: str) -> tuple[int, str]:
-        done = subprocess.run([sys.executable, "-m", "lotuspick", "cells", *words, "--cells", str(self.cells)], cwd=ROOT,
-                              capture_output=True, text=True, env={"PATH": "/usr/bin:/bin", "COLUMNS": "120"})
+        done = subprocess.run(
+            [sys.executable, "-m", "lotuspick", "cells", *words, "--cells", str(self.cells)],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            env={"PATH": "/usr/bin:/bin", "COLUMNS": "120"},
+        )
         return done.returncode, done.stdout + done.stderr
 
     def test_check_tells_what_one_tenant_can_touch(self) -> None:
@@ -173,8 +216,12 @@
         self.assertEqual(code, 1)
 
     def test_explain_and_show_follow_a_move_from_its_declaration_to_its_rollback(self) -> None:
-        self.assertIn("cell: left", self.run_it("explain", "calm", "algebra", "--config", str(self.config), "--home", "0",
-                                                "--copies", "2")[1])
+        self.assertIn(
+            "cell: left",
+            self.run_it(
+                "explain", "calm", "algebra", "--config", str(self.config), "--home", "0", "--copies", "2"
+            )[1],
+        )
         begin = ["--start", "2026-12-01T18:00:00+00:00", "--prepare", "10", "--shift", "100"]
         code, text = self.run_it("move", "calm", "right", *begin)
         self.assertEqual(code, 0, text)
@@ -184,7 +231,9 @@
         self.assertIn("shifting", text)
         self.assertIn("50%", text)
         code, text = self.run_it("move", "calm", "--resume")
-        self.assertIn("move 1 of calm is not paused" if code == 2 and "not paused" in text else "is done", text)
+        self.assertIn(
+            "move 1 of calm is not paused" if code == 2 and "not paused" in text else "is done", text
+        )
         self.assertEqual(self.run_it("move", "calm", "nowhere")[0], 2)
         self.assertIn("no cell is named 'nowhere'", self.run_it("move", "calm", "nowhere")[1])
         self.assertEqual(tomllib.loads(self.cells.read_text())["epoch"], 2)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -31,9 +31,13 @@
 class Doors(Scenario):
     def test_newcomers_for_whom_nobody_can_be_closed_wait_and_are_served(self) -> None:
         """Half of 64 is room for 32 viewers, and for 4 newcomers more; each has a set-up open."""
-        crowd = "\n".join(f"v{each} send SETUP s{each} kind=exam left=15000\ne0 expect SETUP s{each}"
-                          for each in range(1, 37))
-        self.play(crowd + """
+        crowd = "\n".join(
+            f"v{each} send SETUP s{each} kind=exam left=15000\ne0 expect SETUP s{each}"
+            for each in range(1, 37)
+        )
+        self.play(
+            crowd
+            + """
             v37 send SETUP s37 kind=exam left=15000
             v38 send SETUP s38 kind=exam left=15000
             e0 expect NOTHING
@@ -45,22 +49,39 @@
             v37 expect 200 s37 body=late
             v37 close
             e0 expect SETUP s38
-        """, limits={"sockets": 64}, family=ROOM, rules={"StreamsPerConn": 64})
+        """,
+            limits={"sockets": 64},
+            family=ROOM,
+            rules={"StreamsPerConn": 64},
+        )
 
     def test_what_waits_outside_is_taken_before_an_end(self) -> None:
-        crowd = "\n".join(f"v{each} send SETUP s{each} kind=exam left=9000\ne0 expect SETUP s{each}"
-                          for each in range(1, 37))
-        answers = "\n".join(f"e0 send ANSWER s{each} body=x\nv{each} expect 200 s{each}\ne0 send RELEASE s{each} cause=16\n"
-                            f"v{each} expect TEARDOWN s{each}\nv{each} close" for each in range(1, 37))
-        self.play(crowd + """
+        crowd = "\n".join(
+            f"v{each} send SETUP s{each} kind=exam left=9000\ne0 expect SETUP s{each}"
+            for each in range(1, 37)
+        )
+        answers = "\n".join(
+            f"e0 send ANSWER s{each} body=x\nv{each} expect 200 s{each}\ne0 send RELEASE s{each} cause=16\n"
+            f"v{each} expect TEARDOWN s{each}\nv{each} close"
+            for each in range(1, 37)
+        )
+        self.play(
+            crowd
+            + """
             v37 send SETUP s37 kind=exam left=9000
             b send TERM
             b expect LINE msg=stopping
-        """ + answers + """
+        """
+            + answers
+            + """
             e0 expect SETUP s37
             e0 send ANSWER s37 body=late
             v37 expect 200 s37 body=late
-        """, limits={"sockets": 64}, family=ROOM, rules={"StreamsPerConn": 64})
+        """,
+            limits={"sockets": 64},
+            family=ROOM,
+            rules={"StreamsPerConn": 64},
+        )
 
 
 class Rests(Scenario):
@@ -83,7 +104,9 @@
 
     def read(self) -> None:
         assert self.process.stderr is not None
-        while not (said := re.search(r"msg=serving .*listen=127\.0\.0\.1:(\d+)", self.process.stderr.readline())):
+        while not (
+            said := re.search(r"msg=serving .*listen=127\.0\.0\.1:(\d+)", self.process.stderr.readline())
+        ):
             pass
         self.heard.put(("serving", "", {"port": said[1]}))
 
@@ -114,7 +137,11 @@
     """The other side closes, which lies unread when something is written there."""
 
     def test_a_set_up_written_to_a_server_that_has_closed_is_answered_once_and_runs_once(self) -> None:
-        for reset, kind, answer in ((False, b"exam", b" 500 "), (True, b"exam", b" 500 "), (False, b"clip", b" 453 ")):
+        for reset, kind, answer in (
+            (False, b"exam", b" 500 "),
+            (True, b"exam", b" 500 "),
+            (False, b"clip", b" 453 "),
+        ):
             with self.subTest(reset=reset, kind=kind):
                 self.doCleanups()
                 self.setUp()
@@ -124,7 +151,9 @@
                 self.hears(edge, ID)
                 edge.sendall(frame(ANSWER))
                 self.hears(viewer, b" 200 ")
-                second.sendall((SETUP % 2_000).replace(b"exam", kind).replace(b"0000000000000001", OTHER.hex().encode()))
+                second.sendall(
+                    (SETUP % 2_000).replace(b"exam", kind).replace(b"0000000000000001", OTHER.hex().encode())
+                )
                 self.until(lambda: any(isinstance(each, Asked) for each in self.daemon.loop.inbox))
                 if reset:
                     edge.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -183,8 +212,9 @@
 class Ends(unittest.TestCase):
     def setUp(self) -> None:
         self.clock, self.posted = Clock(), list[Any]()
-        self.front = RtspFront(self.clock, self.posted.append, lambda: True, rtsp.Terms(frozenset(), 1, 1), 64,
-                               lambda most: [])
+        self.front = RtspFront(
+            self.clock, self.posted.append, lambda: True, rtsp.Terms(frozenset(), 1, 1), 64, lambda most: []
+        )
 
     def come(self) -> RtspViewer:
         viewer = self.front.buildProtocol(None)
@@ -192,7 +222,9 @@
         self.posted.clear()
         return viewer
 
-    def test_one_that_is_closed_in_order_has_left_at_once_and_is_gone_in_time_though_it_does_not_read(self) -> None:
+    def test_one_that_is_closed_in_order_has_left_at_once_and_is_gone_in_time_though_it_does_not_read(
+        self,
+    ) -> None:
         viewer = self.come()
         viewer.pauseProducing()
         viewer.dataReceived(b"NONSENSE\r\n")
@@ -204,12 +236,20 @@
         self.clock.advance(UNREAD_S)
         self.assertTrue(viewer.transport.aborted)
         viewer.connectionLost(Failure(error.ConnectionAborted()))
-        self.assertEqual((self.posted, self.front.viewers, self.front.leaving), ([ViewerLost(viewer)], {}, set()))
+        self.assertEqual(
+            (self.posted, self.front.viewers, self.front.leaving), ([ViewerLost(viewer)], {}, set())
+        )
 
     def test_no_timer_outlives_its_connection_and_its_end_is_told_once(self) -> None:
-        for way in (lambda each: None, lambda each: each.dataReceived(b"OPTIONS x"), lambda each: each.pauseProducing(),
-                    lambda each: each.dataReceived(Malformed.WRONG * 9), lambda each: each.dataReceived(b"x\r\n"),
-                    lambda each: each.drop(Ending.CROWDED), lambda each: each.say_no_more()):
+        for way in (
+            lambda each: None,
+            lambda each: each.dataReceived(b"OPTIONS x"),
+            lambda each: each.pauseProducing(),
+            lambda each: each.dataReceived(Malformed.WRONG * 9),
+            lambda each: each.dataReceived(b"x\r\n"),
+            lambda each: each.drop(Ending.CROWDED),
+            lambda each: each.say_no_more(),
+        ):
             viewer = self.come()
             way(viewer)
             viewer.connectionLost(Failure(error.ConnectionDone()))
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -49,7 +49,9 @@
     for cls in made.classes.values():
         levels = [made._level(cls, rung) for rung in range(4)]
         assert levels == sorted(levels, reverse=True) and levels[0] == LIMIT, cls.name
-    assert made._level(made.classes["exam"], 3) > made._level(made.classes["clip"], 3)  # three times the worth
+    assert made._level(made.classes["exam"], 3) > made._level(
+        made.classes["clip"], 3
+    )  # three times the worth
 
 
 def test_levels_rise_while_nothing_is_short_and_fall_with_the_sessions_that_are() -> None:
@@ -105,8 +107,10 @@
         made = Controller(settings(gateways=gateways, link_kb_per_weight=10_000.0), seed)
         made.handle(0, [servers(1)])
         names = [f"p{n}" for n in range(12 // gateways)]
-        made.handle(NOW, [event for name in names
-                          for event in (playing(name, ceiling=1), Note(name, "s0", "rung", 0))])
+        made.handle(
+            NOW,
+            [event for name in names for event in (playing(name, ceiling=1), Note(name, "s0", "rung", 0))],
+        )
         made.handle(NOW, [request("x", NOW, home=3, copies=1)])
         raised += len(of(made.handle(NOW + made.calm_us, [note("link", 0.6)]), SetRung))
     # Room up to the level of the rung: some rise, and not so many that the link is short.
@@ -243,8 +247,14 @@
     for number in range(6):
         assert place(made, NOW + number, f"good{number}", copies=1) is not None
         assert place(made, NOW + number, f"bad{number}", copies=1) is not None
-        made.handle(NOW + number, [Started(f"good{number}", 0, "s0"), Ended(f"good{number}", 0, "s0", "served", final=True),
-                                   Ended(f"bad{number}", 0, "s0", outcome, final=True, alive=True)])
+        made.handle(
+            NOW + number,
+            [
+                Started(f"good{number}", 0, "s0"),
+                Ended(f"good{number}", 0, "s0", "served", final=True),
+                Ended(f"bad{number}", 0, "s0", outcome, final=True, alive=True),
+            ],
+        )
     assert made.servers["s0"].cold_until <= NOW
     for number in range(6, 8):  # with the last one above three in a row
         assert place(made, NOW + number, f"bad{number}", copies=1) is not None
@@ -259,7 +269,9 @@
     assert made.servers["s0"].cold_until > NOW + 60 * SECOND
 
 
-def test_a_gateway_that_starts_alone_paces_guessed_starts_by_the_whole_budget_and_told_ones_by_its_part() -> None:
+def test_a_gateway_that_starts_alone_paces_guessed_starts_by_the_whole_budget_and_told_ones_by_its_part() -> (
+    None
+):
     def sends(handed_over: bool, started_us: int) -> int:
         made = Controller(settings(gateways=4, link_kb_per_weight=1e6), 7)
         made.handle(NOW, [ServerList([entry(0, started_us=started_us)], complete=True)])
@@ -302,8 +314,11 @@
     made.handle(NOW, [playing("old", ceiling=2), Note("old", "s0", "rung", 0)])
     made.handle(NOW, [request("x", NOW, home=3, copies=1)])
     made.servers["s0"].line.base = 0.1
-    rungs = [action.rung for second in range(1, 30)
-             for action in of(made.handle(NOW + second * SECOND, []), SetRung)]
+    rungs = [
+        action.rung
+        for second in range(1, 30)
+        for action in of(made.handle(NOW + second * SECOND, []), SetRung)
+    ]
     assert rungs and rungs[0] == 1
 
 
@@ -315,7 +330,9 @@
     assert of(actions, SetRung)[0].rung < before
 
 
-@pytest.mark.parametrize(("allowed", "most", "told"), [(True, 5 * SECOND, SECOND), (True, 300_000, 300_000), (False, SECOND, 0)])
+@pytest.mark.parametrize(
+    ("allowed", "most", "told"), [(True, 5 * SECOND, SECOND), (True, 300_000, 300_000), (False, SECOND, 0)]
+)
 def test_a_refusal_says_when_to_come_back(allowed: bool, most: int, told: int) -> None:
     made = controller(count=1, retry_after=allowed, max_retry_after_us=most)
     answers = made.handle(NOW, [request("a", NOW, ceiling=0, home=3, copies=1)])
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -15,9 +15,25 @@
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-PYTHON = ".venv/bin/python"  # as build leaves it there; here the interpreter that runs the tests stands for it
-HEAVY = {"typer", "rich", "ldap3", "lmdb", "msgspec", "jwt", "cryptography", "netaddr", "xxhash", "tomlkit", "http_sf",
-         "simpy", "numpy", "matplotlib"}
+PYTHON = (
+    ".venv/bin/python"  # as build leaves it there; here the interpreter that runs the tests stands for it
+)
+HEAVY = {
+    "typer",
+    "rich",
+    "ldap3",
+    "lmdb",
+    "msgspec",
+    "jwt",
+    "cryptography",
+    "netaddr",
+    "xxhash",
+    "tomlkit",
+    "http_sf",
+    "simpy",
+    "numpy",
+    "matplotlib",
+}
 PARTS = ("cells", "entitlement", "membership", "lab", "plugin", "adapter")
 
 
@@ -57,7 +73,9 @@
         held = sockets(pid)
         self.assertGreaterEqual(len(held["tcp"]), 3)  # the listener, a viewer and an edge server
         self.assertEqual(held["tcp6"] | held["udp6"], set())
-        self.assertLessEqual(len(held["unix"]), 2)  # the pair by which the reactor wakes itself; nobody listens
+        self.assertLessEqual(
+            len(held["unix"]), 2
+        )  # the pair by which the reactor wakes itself; nobody listens
         world.play("""
             e0 send RELEASE s1 cause=16
             v1 expect TEARDOWN s1 why=cause=16
@@ -65,23 +83,34 @@
             b expect EXIT code=0
         """)
         # What it has imported by now, as the interpreter itself tells: nothing that is off.
-        loaded = [line.rpartition("|")[2].strip() for line in world.broker.log if line.startswith("import time:")]
+        loaded = [
+            line.rpartition("|")[2].strip() for line in world.broker.log if line.startswith("import time:")
+        ]
         self.assertIn("lotuspick.program.daemon", loaded)
         self.assertEqual([name for name in loaded if name.split(".")[0] in HEAVY], [])
-        self.assertEqual([name for name in loaded if name.startswith("lotuspick.") and name.split(".")[1] in PARTS], [])
+        self.assertEqual(
+            [name for name in loaded if name.startswith("lotuspick.") and name.split(".")[1] in PARTS], []
+        )
         self.assertNotIn("lotuspick.transport.peers", loaded)
 
     def test_run_takes_no_arguments_and_names_what_it_cannot_use(self) -> None:
         for words, wanted in (("serve", "takes no arguments"), ("", "PROXY_CONFIG is not set")):
-            done = subprocess.run(["/bin/sh", "-c", f"{here(DEPLOY['run'])} {words}"], cwd=ROOT, capture_output=True,
-                                  text=True, env={"PATH": os.environ["PATH"]})
+            done = subprocess.run(
+                ["/bin/sh", "-c", f"{here(DEPLOY['run'])} {words}"],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+                env={"PATH": os.environ["PATH"]},
+            )
             self.assertNotEqual(done.returncode, 0)
             self.assertIn(wanted, done.stderr)
 
     def test_policy_and_node_name_what_is_there(self) -> None:
         for path in DEPLOY["policy"] + DEPLOY["node"]:
             self.assertTrue((ROOT / path).exists(), path)
-        lines = sum(bool(line.strip()) for path in DEPLOY["policy"] for line in (ROOT / path).read_text().splitlines())
+        lines = sum(
+            bool(line.strip()) for path in DEPLOY["policy"] for line in (ROOT / path).read_text().splitlines()
+        )
         self.assertLessEqual(lines, 750)
         self.assertTrue(DEPLOY["sim"].startswith(f"exec {PYTHON} "))
 
--- a/tests/test_entitlement.py
+++ b/tests/test_entitlement.py
@@ -66,7 +66,14 @@
         self.refused(f"{head}.{part({**claims, 'jti': 'seat-2'})}.{signature}", Fault.SIGNATURE)
         self.refused(token, Fault.WITHDRAWN_KEY, by=checker(withdrawn=True))
         self.refused(token, Fault.WITHDRAWN_KEY, by=checker(from_s=NOW + 600))
-        for key, value in (("jti", None), ("sub", "a b"), ("ren", -1), ("exp", "soon"), ("iat", True), ("exp", 1)):
+        for key, value in (
+            ("jti", None),
+            ("sub", "a b"),
+            ("ren", -1),
+            ("exp", "soon"),
+            ("iat", True),
+            ("exp", 1),
+        ):
             self.refused(jwt.encode({**claims, key: value}, KEY, "EdDSA", {"kid": "k1"}), Fault.CLAIM)
 
     def test_times_with_skew_and_grace(self) -> None:
@@ -77,8 +84,15 @@
         self.refused(token, Fault.EXPIRED, NOW + 160)
         self.assertEqual(checker().check(token, NOW + 160, grace_s=30), SEAT)
 
-    @given(st.text(max_size=1_200) | st.binary(max_size=600).map(lambda raw: ".".join(
-        base64.urlsafe_b64encode(each).decode().rstrip("=") for each in (raw[:200], raw[200:400], raw[400:]))))
+    @given(
+        st.text(max_size=1_200)
+        | st.binary(max_size=600).map(
+            lambda raw: ".".join(
+                base64.urlsafe_b64encode(each).decode().rstrip("=")
+                for each in (raw[:200], raw[200:400], raw[400:])
+            )
+        )
+    )
     def test_whatever_comes_is_refused_by_name(self, text: str) -> None:
         with self.assertRaises(TokenFault):
             checker().check(text, NOW)
@@ -98,8 +112,12 @@
 
 class Keys(unittest.TestCase):
     def run_it(self, *words: str) -> subprocess.CompletedProcess[str]:
-        return subprocess.run([sys.executable, "-m", "lotuspick", "keys", *words, "--keys", self.folder], cwd=ROOT,
-                              capture_output=True, text=True)
+        return subprocess.run(
+            [sys.executable, "-m", "lotuspick", "keys", *words, "--keys", self.folder],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+        )
 
     def test_keys_are_made_rotated_with_overlap_and_withdrawn(self) -> None:
         with tempfile.TemporaryDirectory() as self.folder:
@@ -116,7 +134,9 @@
             self.assertEqual(self.run_it("withdraw", first).returncode, 0)
             with self.assertRaisesRegex(TokenFault, "withdrawn-key"):
                 Checker("a", folder.load()).check(tokens[0], now)
-            self.assertRegex(self.run_it("list").stdout, f"{first} from .* withdrawn\n{second} from .* signs\n")
+            self.assertRegex(
+                self.run_it("list").stdout, f"{first} from .* withdrawn\n{second} from .* signs\n"
+            )
             self.assertIn("no key k0", self.run_it("withdraw", "k0").stderr)
 
     def test_private_keys_that_others_may_read_are_not_used_and_never_shown(self) -> None:
@@ -190,7 +210,9 @@
         self.assertIs(self.ask(ledger, "d"), Verdict.GRANTED)
         ledger.ran(NOW + 9, "d")
         self.assertIs(ledger.reserve(NOW + 9, "s", "e", "v", 0, NOW + 100, again=True)[0], Verdict.GRANTED)
-        self.assertIs(ledger.reserve(NOW + 9, "s", "f", "stranger", 0, NOW + 100, again=True)[0], Verdict.SPENT)
+        self.assertIs(
+            ledger.reserve(NOW + 9, "s", "f", "stranger", 0, NOW + 100, again=True)[0], Verdict.SPENT
+        )
         self.assertEqual(ledger.records["s"].from_s, NOW)
 
     def test_a_thousand_tokens_for_one_seat_at_once(self) -> None:
@@ -208,10 +230,20 @@
         self.assertIs(again.ran(NOW, "a").state, State.COUNTED)  # type: ignore[union-attr]
 
 
-RECORDS = st.builds(Record, st.sampled_from(["s", "t"]), st.sampled_from(list(State)), st.sampled_from("ab"), st.just("v"),
-                    st.integers(0, 2), st.integers(0, 3), st.integers(0, 4), st.booleans())
-LEDGERS = st.dictionaries(st.tuples(st.sampled_from(["n0", "n1", "n2"]), st.sampled_from(["s", "t"])), RECORDS, max_size=5).map(
-    lambda each: {(broker, record.seat): record for (broker, _), record in each.items()})
+RECORDS = st.builds(
+    Record,
+    st.sampled_from(["s", "t"]),
+    st.sampled_from(list(State)),
+    st.sampled_from("ab"),
+    st.just("v"),
+    st.integers(0, 2),
+    st.integers(0, 3),
+    st.integers(0, 4),
+    st.booleans(),
+)
+LEDGERS = st.dictionaries(
+    st.tuples(st.sampled_from(["n0", "n1", "n2"]), st.sampled_from(["s", "t"])), RECORDS, max_size=5
+).map(lambda each: {(broker, record.seat): record for (broker, _), record in each.items()})
 
 
 class Merging(unittest.TestCase):
@@ -225,10 +257,20 @@
         def counted(state: State, span: tuple[int, int]) -> Record:
             return Record("s", state, "a", "v", 1, counted=True, from_s=span[0], until_s=span[1])
 
-        for spans, kind in ((((5, 9), (7, 12)), "at-once"), (((5, 0), (7, 12)), "perhaps"), (((5, 7), (7, 0)), "")):
-            merged = put_together({("n0", "s"): counted(State.VACANT, spans[0])}, {("n1", "s"): counted(State.COUNTED, spans[1])})
+        for spans, kind in (
+            (((5, 9), (7, 12)), "at-once"),
+            (((5, 0), (7, 12)), "perhaps"),
+            (((5, 7), (7, 0)), ""),
+        ):
+            merged = put_together(
+                {("n0", "s"): counted(State.VACANT, spans[0])},
+                {("n1", "s"): counted(State.COUNTED, spans[1])},
+            )
             self.assertEqual(settled(merged), {"s": ("n0", "n1")})
-            self.assertEqual([(each.kind, each.counted) for each in conflicts(merged)], [(kind, ("n0", "n1"))] if kind else [])
+            self.assertEqual(
+                [(each.kind, each.counted) for each in conflicts(merged)],
+                [(kind, ("n0", "n1"))] if kind else [],
+            )
 
     def test_only_proof_settles_a_doubt(self) -> None:
         doubt, ran = Record("t", State.DOUBT, "c", "v"), Record("t", State.COUNTED, "d", "v", counted=True)
@@ -247,7 +289,9 @@
         self.ledger, self.written = Ledger(), dict[str, Record]()
         self.made, self.now = 0, NOW
         self.ran: set[str] = set()  # seats of which a set-up ran
-        self.open: dict[str, tuple[str, bool]] = {}  # sessions whose set-up may still run, and whether their seat was counted
+        self.open: dict[
+            str, tuple[str, bool]
+        ] = {}  # sessions whose set-up may still run, and whether their seat was counted
 
     def write(self, record: Record | None) -> None:
         if record is not None:
@@ -257,7 +301,9 @@
     def ask(self, seat: str, epoch: int, again: bool) -> None:
         self.made += 1
         before = self.ledger.records.get(seat, Record(seat))
-        verdict, record = self.ledger.reserve(self.now, seat, f"q{self.made}", "v", epoch, self.now + 50, again)
+        verdict, record = self.ledger.reserve(
+            self.now, seat, f"q{self.made}", "v", epoch, self.now + 50, again
+        )
         self.write(record)
         assert (verdict is Verdict.GRANTED) == (record is not None)
         if record is not None:
@@ -309,9 +355,14 @@
         for seat in open_ - counted:
             record = self.ledger.records[seat]
             assert record.state in (State.RESERVED, State.DOUBT)
-            assert {each for each in self.open if self.open[each][0] == seat} <= {record.session, *record.doubted}
+            assert {each for each in self.open if self.open[each][0] == seat} <= {
+                record.session,
+                *record.doubted,
+            }
         assert self.ledger.in_doubt == sum(each.state is State.DOUBT for each in self.ledger.records.values())
 
 
 TestCrashes = Crashes.TestCase
-TestCrashes.settings = examples(max_examples=int(os.environ.get("LOTUSPICK_EXAMPLES", "100")), stateful_step_count=40, deadline=None)
+TestCrashes.settings = examples(
+    max_examples=int(os.environ.get("LOTUSPICK_EXAMPLES", "100")), stateful_step_count=40, deadline=None
+)
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -23,10 +23,23 @@
 
 def update(index: int, **fields: Any) -> bytes:
     """One change of one server, of which ``fields`` replace what is good."""
-    server = {"id": "s-1", "addr": "127.0.0.1:1", "zone": "z", "kind": "k", "cell": 0, "state": "in_service", "weight": 1,
-              "started_ms": 0, **fields}
-    return json.dumps({"index": index, "updates": [
-        {"index": index, "endpoints": {"version": 1, "full": False, "servers": [server]}}]}).encode()
+    server = {
+        "id": "s-1",
+        "addr": "127.0.0.1:1",
+        "zone": "z",
+        "kind": "k",
+        "cell": 0,
+        "state": "in_service",
+        "weight": 1,
+        "started_ms": 0,
+        **fields,
+    }
+    return json.dumps(
+        {
+            "index": index,
+            "updates": [{"index": index, "endpoints": {"version": 1, "full": False, "servers": [server]}}],
+        }
+    ).encode()
 
 
 def whole(body: bytes, head: bytes = OK) -> bytes:
@@ -57,10 +70,17 @@
         link = self.connect()
         for index in range(1, 5):
             self.asked(link, index - 1)
-            body = whole(news(index)) if index % 2 else OK + (
-                b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(news(index)), news(index)))
+            body = (
+                whole(news(index))
+                if index % 2
+                else OK
+                + (
+                    b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n"
+                    % (len(news(index)), news(index))
+                )
+            )
             for at in range(0, len(body), 7):  # however it is cut
-                link.dataReceived(body[at:at + 7])
+                link.dataReceived(body[at : at + 7])
             self.reactor.advance(0)
         self.asked(link, 4)
         self.assertEqual((len(self.reactor.tcpClients), self.feed.index), (1, 4))
@@ -84,9 +104,16 @@
 
     def test_whatever_goes_wrong_it_asks_again_after_a_pause(self) -> None:
         half = whole(news(9))[:30]
-        for spoilt, ends in ((b"nonsense\r\n\r\n", False), (whole(b"[]"), False), (whole(b"{"), False),
-                             (whole(news(9), b"HTTP/1.1 503 Busy\r\n"), False), (half, True), (b"", True),
-                             (whole(news(9, MOST_ANSWER)), False), (b"HTTP/1.1 200 OK\r\nA: " + b"x" * 20_000, False)):
+        for spoilt, ends in (
+            (b"nonsense\r\n\r\n", False),
+            (whole(b"[]"), False),
+            (whole(b"{"), False),
+            (whole(news(9), b"HTTP/1.1 503 Busy\r\n"), False),
+            (half, True),
+            (b"", True),
+            (whole(news(9, MOST_ANSWER)), False),
+            (b"HTTP/1.1 200 OK\r\nA: " + b"x" * 20_000, False),
+        ):
             with self.subTest(spoilt[:40]):
                 link, dials = self.connect(), len(self.reactor.tcpClients)
                 self.asked(link, 0)
@@ -106,7 +133,9 @@
                 self.reactor.advance(AGAIN_S)  # it told nothing, and at once
         self.assertEqual(self.feed.index, 0)
 
-    def test_an_update_that_came_spoilt_is_asked_for_again_and_passed_over_only_where_it_stays_so(self) -> None:
+    def test_an_update_that_came_spoilt_is_asked_for_again_and_passed_over_only_where_it_stays_so(
+        self,
+    ) -> None:
         """Guards against a drain that is never heard of: what is passed over is not told again."""
         told: list[Any] = []
         self.feed.tell = told.append
@@ -118,7 +147,9 @@
             self.reactor.advance(AGAIN_S)
         self.asked(link, 0)
         link.dataReceived(whole(update(1, state="terminating")))
-        self.assertEqual((self.feed.index, [change.news.servers[0].state for change in told]), (1, ["draining"]))
+        self.assertEqual(
+            (self.feed.index, [change.news.servers[0].state for change in told]), (1, ["draining"])
+        )
         self.reactor.advance(0)
         for _ in range(TRIES):  # counted anew, and the last of them is not waited for any more
             self.asked(link, 1)
@@ -178,7 +209,9 @@
         self.assertEqual(len(self.reactor.tcpClients), 2)
         self.asked(self.connect(), 0)
 
-    def test_a_move_while_a_dial_is_on_its_way_or_a_failure_is_waited_out_follows_the_new_one_alone(self) -> None:
+    def test_a_move_while_a_dial_is_on_its_way_or_a_failure_is_waited_out_follows_the_new_one_alone(
+        self,
+    ) -> None:
         self.feed.move("127.0.0.1:8")  # while the first dial is out
         self.reactor.advance(0)
         self.assertEqual([port for _, port, *_ in self.reactor.tcpClients], [7, 8])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -34,8 +34,12 @@
     def deaths(self, made: Fleet, of: int | None = None) -> list[str]:
         """Lines in which brokers say that one is dead."""
         named = made.name(of) if of is not None else "\\S+"
-        return [line for at in made.brokers for line in made.log(at).splitlines()
-                if re.search(rf"msg=member member={named} state=dead", line)]
+        return [
+            line
+            for at in made.brokers
+            for line in made.log(at).splitlines()
+            if re.search(rf"msg=member member={named} state=dead", line)
+        ]
 
     def judge(self, made: Fleet, hurt: set[int]) -> list[Call]:
         """Each set-up had one outcome, and plain ones lost nothing at brokers whose process was not hurt."""
@@ -69,7 +73,9 @@
 
     def test_a_link_that_a_third_goes_round_and_one_whose_words_are_lost(self) -> None:
         made = self.fleet()
-        watcher = next(at for at in range(1, 5) if made.name(at) in made.ask(0, "explain", name="n0")["watchers"])
+        watcher = next(
+            at for at in range(1, 5) if made.name(at) in made.ask(0, "explain", name="n0")["watchers"]
+        )
         assert made.relays is not None
         way = made.relays.ways[watcher, 0]
         made.happens(Fault(0, "cut", (watcher,), (0,)))
@@ -104,11 +110,15 @@
         made.resume(1)
         made.agree(range(5))
         self.assertIn("msg=stalled", made.log(1))
-        self.assertEqual([line for line in made.log(1).splitlines() if "state=dead" in line], [], "it accuses nobody")
+        self.assertEqual(
+            [line for line in made.log(1).splitlines() if "state=dead" in line], [], "it accuses nobody"
+        )
         calls = [call for call in self.judge(made, {1}) if call.broker == 1 and call.paid]
         waited = [call for call in calls if call.took_ms > 900]  # those that were sent while it stood still
         self.assertTrue(waited)
-        self.assertFalse([call for call in waited if call.status == 200], "nothing is promised on what it believed before")
+        self.assertFalse(
+            [call for call in waited if call.status == 200], "nothing is promised on what it believed before"
+        )
 
     def test_one_that_is_slow_and_hears_nobody_buries_nobody(self) -> None:
         made = self.fleet()
@@ -116,12 +126,21 @@
         made.stood([4], "minority", "alone")
         made.until(lambda: made.ask(4, "show")["counts"]["accusations"] >= 3, "it accuses the others")
         made.happens(Fault(0, "heal"))
-        made.until(lambda: made.ask(4, "show")["counts"]["false_accusations"] > 0, "it is told that they live")
+        made.until(
+            lambda: made.ask(4, "show")["counts"]["false_accusations"] > 0, "it is told that they live"
+        )
         for _ in range(8):  # slow: it runs for a part of the time
             made.play([Fault(0.0, "stall", (4,)), Fault(0.6, "resume", (4,)), Fault(0.8, "heal")])
         made.agree(range(5))
-        self.assertEqual([line for at in range(4) for line in made.log(at).splitlines()
-                          if re.search(r"member=n[0-3] state=dead", line)], [])
+        self.assertEqual(
+            [
+                line
+                for at in range(4)
+                for line in made.log(at).splitlines()
+                if re.search(r"member=n[0-3] state=dead", line)
+            ],
+            [],
+        )
         self.judge(made, {4})
 
     def test_killed_and_back_before_anyone_noticed_all_at_once_and_with_disks_lost(self) -> None:
@@ -129,8 +148,15 @@
         made.kill(3)
         made.start(3)
         made.agree(range(5))
-        self.assertEqual({each["life"] for at in range(5) for each in made.ask(at, "show")["members"]
-                          if each["member"] == "n3"}, {2})
+        self.assertEqual(
+            {
+                each["life"]
+                for at in range(5)
+                for each in made.ask(at, "show")["members"]
+                if each["member"] == "n3"
+            },
+            {2},
+        )
         for at in range(5):
             made.kill(at)
         for at in range(5):
@@ -154,20 +180,42 @@
         made.launch(5)
         made.stood([2], "displaced")
         made.stood([5], "whole")
-        self.assertIn("msg=\"displaced", made.log(2))
+        self.assertIn('msg="displaced', made.log(2))
         before = len(made.ran())
         made.until(lambda: len(made.ran()) > before + 60, "set-ups run")
         calls = self.judge(made, {5})
-        ends = {at: max(call.asked_s for call in calls if call.broker == at and call.paid and call.status == 200) for at in (2, 5)}
+        ends = {
+            at: max(call.asked_s for call in calls if call.broker == at and call.paid and call.status == 200)
+            for at in (2, 5)
+        }
         begin = min(call.asked_s for call in calls if call.broker == 5 and call.paid and call.status == 200)
         self.assertLess(ends[2], begin, "never both")
-        self.assertTrue([call for call in calls if call.broker == 2 and not call.paid and call.asked_s > begin and call.status == 200])
+        self.assertTrue(
+            [
+                call
+                for call in calls
+                if call.broker == 2 and not call.paid and call.asked_s > begin and call.status == 200
+            ]
+        )
 
 
 class Operators(Case):
     def members(self, made: Fleet, *words: str) -> tuple[int, str]:
-        done = subprocess.run([sys.executable, "-m", "lotuspick", "members", *words, "--peers", str(made.folder / "b0-peers.toml")],
-                              cwd=ROOT, capture_output=True, text=True, env={"PATH": "/usr/bin:/bin"})
+        done = subprocess.run(
+            [
+                sys.executable,
+                "-m",
+                "lotuspick",
+                "members",
+                *words,
+                "--peers",
+                str(made.folder / "b0-peers.toml"),
+            ],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            env={"PATH": "/usr/bin:/bin"},
+        )
         return done.returncode, done.stdout + done.stderr
 
     def test_show_explain_and_drain(self) -> None:
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -7,8 +7,10 @@
 
 from stepped import Stepped
 
-SETUP = (b"SETUP rtsp://media/aa00 RTSP/1.0\r\nCSeq: 1\r\nSession: 0000000000000001\r\nP-Kind: exam\r\n"
-         b"P-Time-Left: %d\r\nP-Path: home:0;copies:1;top:2\r\nContent-Length: 4\r\n\r\nof\r\n")
+SETUP = (
+    b"SETUP rtsp://media/aa00 RTSP/1.0\r\nCSeq: 1\r\nSession: 0000000000000001\r\nP-Kind: exam\r\n"
+    b"P-Time-Left: %d\r\nP-Path: home:0;copies:1;top:2\r\nContent-Length: 4\r\n\r\nof\r\n"
+)
 ID = bytes.fromhex("0000000000000001")
 ANSWER = b"\x09" + ID + b"\x82\x00\x04good"
 
@@ -53,7 +55,9 @@
                 self.setUp()
                 viewer = self.call()
                 if known:
-                    viewer.sendall(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
+                    viewer.sendall(
+                        b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n"
+                    )
                     self.hears(viewer, b"200")
                 self.daemon.stop()
                 viewer.sendall(SETUP % 5_000)
@@ -80,8 +84,10 @@
 
 class HeldUpOverHttp(Stepped):
     hints = True
-    POST = (b"POST /media/aa00 HTTP/1.1\r\nHost: x\r\nSession: 0000000000000001\r\nP-Kind: exam\r\nP-Time-Left: 5000\r\n"
-            b"P-Path: home:0;copies:1;top:2\r\nContent-Length: 2\r\n\r\nof")
+    POST = (
+        b"POST /media/aa00 HTTP/1.1\r\nHost: x\r\nSession: 0000000000000001\r\nP-Kind: exam\r\nP-Time-Left: 5000\r\n"
+        b"P-Path: home:0;copies:1;top:2\r\nContent-Length: 2\r\n\r\nof"
+    )
 
     def test_what_came_before_an_end_and_was_not_looked_at_is_served(self) -> None:
         for known in (True, False):
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -93,28 +93,42 @@
         self.assertEqual(len(made.trust), 4_096)
 
     def test_nonsense_is_refused_where_it_is_made(self) -> None:
-        for make in (lambda: ServerHint("s0", -1.0), lambda: ServerHint("s0", float("nan")),
-                     lambda: PlayerHint("a", throughput_kb=float("inf")), lambda: PlayerHint("a", buffer_s=-1)):
+        for make in (
+            lambda: ServerHint("s0", -1.0),
+            lambda: ServerHint("s0", float("nan")),
+            lambda: PlayerHint("a", throughput_kb=float("inf")),
+            lambda: PlayerHint("a", buffer_s=-1),
+        ):
             with self.assertRaises(ValueError):
                 make()
 
 
 class Codecs(unittest.TestCase):
     def test_cmcd_of_headers_and_query(self) -> None:
-        keys = cmcd.read({"cmcd-request": "bl=1500,mtp=3200", "cmcd-status": "bs,com.example-x=1"}, 'cid="x",ot=v')
+        keys = cmcd.read(
+            {"cmcd-request": "bl=1500,mtp=3200", "cmcd-status": "bs,com.example-x=1"}, 'cid="x",ot=v'
+        )
         self.assertEqual(keys, {"bl": 1500, "mtp": 3200, "bs": True, "cid": "x", "ot": "v"})
         self.assertEqual(cmcd.hint("s", keys), PlayerHint("s", 1.5, True, 400.0))
         self.assertIsNone(cmcd.hint("s", {"cid": "x"}))
 
     def test_cmsd_takes_the_nodes_own_entry(self) -> None:
-        headers = {cmsd.DYNAMIC: '"origin";etp=8, "n1";etp=800;rtt=2', cmsd.STATIC: 'ot=v,br=200'}
+        headers = {cmsd.DYNAMIC: '"origin";etp=8, "n1";etp=800;rtt=2', cmsd.STATIC: "ot=v,br=200"}
         self.assertEqual(cmsd.hint("n1", headers), ServerHint("n1", 100.0))
         self.assertEqual(cmsd.hint("n2", headers), ServerHint("n2", 1.0))
         self.assertIsNone(cmsd.hint("n1", {}))
 
     def test_faults_name_the_key(self) -> None:
-        for text, key in (("bl=x", "bl"), ("bs=1", "bs"), ("mtp=-1", "mtp"), ("ot=zz", "ot"), ('cid=1', "cid"),
-                          ("mtp=1.5", "mtp"), ("br=", "br"), ("bl=1,,", "CMCD")):
+        for text, key in (
+            ("bl=x", "bl"),
+            ("bs=1", "bs"),
+            ("mtp=-1", "mtp"),
+            ("ot=zz", "ot"),
+            ("cid=1", "cid"),
+            ("mtp=1.5", "mtp"),
+            ("br=", "br"),
+            ("bl=1,,", "CMCD"),
+        ):
             with self.subTest(text), self.assertRaisesRegex(ProtocolFault, key):
                 cmcd.read({}, text)
         for text, key in (('"n";etp=x', "etp"), ("5;etp=1", "names no server"), ('"n";du=3', "du")):
@@ -154,10 +168,17 @@
             self.rungs.pop(session, None)
             return 204, {}, b""
         self.rungs[session] = int(query["rung"])
-        free = {"honest": 1 - self.load, "stale": 1 - CALM, "false": float(self.load > 0.8),
-                "turning": float(self.load > 0.8) if self.label == "n0" and not self.early else 1 - self.load}.get(self.told)
-        hints = {} if free is None else {
-            "CMSD-Dynamic": f'"s-{self.label}";etp={max(0, int(free * LINK_KB * 8))}'}
+        free = {
+            "honest": 1 - self.load,
+            "stale": 1 - CALM,
+            "false": float(self.load > 0.8),
+            "turning": float(self.load > 0.8) if self.label == "n0" and not self.early else 1 - self.load,
+        }.get(self.told)
+        hints = (
+            {}
+            if free is None
+            else {"CMSD-Dynamic": f'"s-{self.label}";etp={max(0, int(free * LINK_KB * 8))}'}
+        )
         return 200, hints, self.label.encode()
 
     def note(self, session: str) -> None:
@@ -170,8 +191,14 @@
 def service(told: str, players: str, seed: int) -> float:
     """A cohort comes to a title that two nodes hold. At first notes come; then they stay out, as in a trouble on
     record, while others fill the link of one node. A node that turns tells the truth only till then. The mean worth of those who came after that."""
-    world = World(hints=True, node=MediaNode, n0="up", n1="up", seed=seed, family={"WeightKb": LINK_KB,
-                  "PlacesByKind": [200]})
+    world = World(
+        hints=True,
+        node=MediaNode,
+        n0="up",
+        n1="up",
+        seed=seed,
+        family={"WeightKb": LINK_KB, "PlacesByKind": [200]},
+    )
     try:
         nodes = [world.actors["n0"], world.actors["n1"]]
         late: list[tuple[Any, str]] = []
@@ -193,17 +220,28 @@
                 late.append((node, number(f"s{index}")))
             if players != "none":
                 short = (node.load > 1) == (players == "honest")
-                world.play(f"p send HINT s{index} CMCD={'bs%2Cmtp%3D8' if short else 'bl%3D9000'}\np expect 204")
-        return mean((0.3, 0.6, 1.0)[node.rungs[session]]
-                    * max(0.0, 1 - STALL * max(0.0, 0.98 - 1 / max(1.0, node.load))) for node, session in late)
+                world.play(
+                    f"p send HINT s{index} CMCD={'bs%2Cmtp%3D8' if short else 'bl%3D9000'}\np expect 204"
+                )
+        return mean(
+            (0.3, 0.6, 1.0)[node.rungs[session]]
+            * max(0.0, 1 - STALL * max(0.0, 0.98 - 1 / max(1.0, node.load)))
+            for node, session in late
+        )
     finally:
         world.end()
 
 
 class Worth(unittest.TestCase):
     def test_honest_hints_raise_service_and_false_ones_lower_it_by_few_points(self) -> None:
-        arms = {"no hints": ("nothing", "none"), "honest": ("honest", "honest"), "false": ("false", "false"),
-                "stale": ("stale", "none"), "contradicting": ("false", "honest"), "turning": ("turning", "false")}
+        arms = {
+            "no hints": ("nothing", "none"),
+            "honest": ("honest", "honest"),
+            "false": ("false", "false"),
+            "stale": ("stale", "none"),
+            "contradicting": ("false", "honest"),
+            "turning": ("turning", "false"),
+        }
         found = {arm: mean(service(*hints, seed) for seed in (1, 2, 3)) for arm, hints in arms.items()}
         print("\nservice " + ", ".join(f"{arm} {figure:.3f}" for arm, figure in found.items()))
         self.assertGreater(found["honest"], found["no hints"] + 0.05)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -36,10 +36,14 @@
         self.assertLessEqual(len(read(PATH.read_text() if PATH.exists() else "")), 3)
 
     def test_what_cannot_be_used_is_named(self) -> None:
-        for text, fault in (("tests/a.py::t", "line 1"), ("# x\ntests/a.py::t | cause |", "line 2"),
-                            ("a | cause | 3", "line 1"), ("a::t | cause | soon", "line 1"),
-                            ("a::t | c | 1\na::t | c | 1", "twice"),
-                            ("\n".join(f"a::t{each} | c | 1" for each in range(4)), "3 at most")):
+        for text, fault in (
+            ("tests/a.py::t", "line 1"),
+            ("# x\ntests/a.py::t | cause |", "line 2"),
+            ("a | cause | 3", "line 1"),
+            ("a::t | cause | soon", "line 1"),
+            ("a::t | c | 1\na::t | c | 1", "twice"),
+            ("\n".join(f"a::t{each} | c | 1" for each in range(4)), "3 at most"),
+        ):
             with self.subTest(text), self.assertRaisesRegex(RedListError, fault):
                 read(text)
 
@@ -50,8 +54,12 @@
             (there / "conftest.py").write_text(HOOK)
             (there / "test_some.py").write_text(tests)
             Path(folder, "KNOWN-RED.txt").write_text(lines)
-            done = subprocess.run([sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "tests"], cwd=folder,
-                                  capture_output=True, text=True)
+            done = subprocess.run(
+                [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "tests"],
+                cwd=folder,
+                capture_output=True,
+                text=True,
+            )
             return done.returncode, done.stdout + done.stderr
 
     def test_red_tests_are_passed_over_and_printed(self) -> None:
@@ -60,11 +68,14 @@
         self.assertIn("KNOWN RED: tests/test_some.py::test_red: it is so (issue 7)", said)
 
     def test_a_stale_line_one_without_a_test_and_a_bad_one_fail(self) -> None:
-        for lines, tests in (("", TESTS), (RED + "tests/test_some.py::test_green | no more | 7\n", TESTS),
-                             (RED + "tests/test_some.py::test_none | c | 7\n", TESTS),
-                             (RED + "tests/test_gone.py::test_red | c | 7\n", TESTS),
-                             (RED + "tests/test_some.py::test_red\n", TESTS),
-                             (RED + "tests/test_some.py::Cases::test_in_parts | in part | 7\n", TESTS + IN_PARTS)):
+        for lines, tests in (
+            ("", TESTS),
+            (RED + "tests/test_some.py::test_green | no more | 7\n", TESTS),
+            (RED + "tests/test_some.py::test_none | c | 7\n", TESTS),
+            (RED + "tests/test_gone.py::test_red | c | 7\n", TESTS),
+            (RED + "tests/test_some.py::test_red\n", TESTS),
+            (RED + "tests/test_some.py::Cases::test_in_parts | in part | 7\n", TESTS + IN_PARTS),
+        ):
             with self.subTest(lines):
                 self.assertNotEqual(self.run_with(lines, tests)[0], 0)
 
