--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -20,14 +20,28 @@
 from lotuspick.routing.loop import Loop
 
 SMALL = Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, measure_from_s=10.0)
-NOISE = (Trouble("kill", 15.0, 16.0, 1), Trouble("dead", 18.0, 25.0, 2), Trouble("drain", 20.0, 30.0, 5),
-         Trouble("slow", 12.0, 20.0, 7), Trouble("late", 22.0, 30.0), Trouble("mute", 15.0, 25.0))
+NOISE = (
+    Trouble("kill", 15.0, 16.0, 1),
+    Trouble("dead", 18.0, 25.0, 2),
+    Trouble("drain", 20.0, 30.0, 5),
+    Trouble("slow", 12.0, 20.0, 7),
+    Trouble("late", 22.0, 30.0),
+    Trouble("mute", 15.0, 25.0),
+)
 
 
 class Days(unittest.TestCase):
     def test_the_same_seed_plays_the_same_day(self) -> None:
-        spec = Spec(**{**{name: getattr(SMALL, name) for name in ("nodes", "racks", "cells", "tenants", "brokers", "day_s")},
-                       "storms": (Storm("t000", 12.0, 30.0),), "troubles": NOISE})
+        spec = Spec(
+            **{
+                **{
+                    name: getattr(SMALL, name)
+                    for name in ("nodes", "racks", "cells", "tenants", "brokers", "day_s")
+                },
+                "storms": (Storm("t000", 12.0, 30.0),),
+                "troubles": NOISE,
+            }
+        )
         plans = [(0.0, blocks(World(spec, 3)))]
         days = [play(spec, 3, plans) for _ in range(2)]
         self.assertEqual(days[0].books.worth, days[1].books.worth)
@@ -37,7 +51,10 @@
 
     def test_every_rule_holds_in_trouble(self) -> None:
         for seed in range(3):
-            day = play(Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, load=1.2, troubles=NOISE), seed)
+            day = play(
+                Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, load=1.2, troubles=NOISE),
+                seed,
+            )
             self.assertEqual(day.books.broken, [])
             self.assertGreater(day.books.ends["broker killed"] + day.books.ends["node died"], 0)
 
@@ -53,21 +70,35 @@
         handle = Controller.handle
 
         def lowest(self: Controller, now: int, events: Any) -> Any:
-            return [type(each)(each.session, 0) if type(each).__name__ == "SetRung" else each
-                    for each in handle(self, now, events)]
+            return [
+                type(each)(each.session, 0) if type(each).__name__ == "SetRung" else each
+                for each in handle(self, now, events)
+            ]
 
         with patch.object(Controller, "handle", lowest):
             self.assertIn("on the lowest rung", " ".join(play(SMALL, 1).books.broken))
-        with (patch.object(Controller, "handle", lambda self, now, events: []),
-              patch.object(Loop, "_overdue", lambda self, session, request: None)):
+        with (
+            patch.object(Controller, "handle", lambda self, now, events: []),
+            patch.object(Loop, "_overdue", lambda self, session, request: None),
+        ):
             self.assertIn("no outcome for", " ".join(play(SMALL, 1).books.broken))
         with patch.object(Controller, "_usable", lambda self, server: server.listed):
-            drained = Spec(nodes=4, racks=1, cells=1, tenants=4, brokers=3, day_s=30.0, copies=(4, 4),
-                           troubles=(Trouble("drain", 5.0, 28.0, 1),))
+            drained = Spec(
+                nodes=4,
+                racks=1,
+                cells=1,
+                tenants=4,
+                brokers=3,
+                day_s=30.0,
+                copies=(4, 4),
+                troubles=(Trouble("drain", 5.0, 28.0, 1),),
+            )
             self.assertIn("told to drain", " ".join(play(drained, 1).books.broken))
 
     def test_moves_drop_nothing(self) -> None:
-        row, samples = moves({"load": 0.5, "day_s": 70.0}, {"moves": 5, "kills": 1, "stale": 1, "troubles": True}, 77)
+        row, samples = moves(
+            {"load": 0.5, "day_s": 70.0}, {"moves": 5, "kills": 1, "stale": 1, "troubles": True}, 77
+        )
         self.assertEqual((row["dropped"], row["twice"], row["broken"]), (0, 0, 0))
         self.assertTrue(samples["drain"])
 
@@ -90,9 +121,14 @@
 
     def test_bad_files_name_their_key(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            for text, wanted in (("", "trial|about|measures"), ('about="a"\ntrial="t"\n[arms]\n[seeds]\nquick=3\n[measures]', "quick"),
-                                 ('about="a"\ntrial="t"\n[arms.x]\n[seeds]\nquick=[1,2]\nfull=[1,2]\n[measures.m]\nvalue="v"\narm="y"',
-                                  "no arm is named 'y'")):
+            for text, wanted in (
+                ("", "trial|about|measures"),
+                ('about="a"\ntrial="t"\n[arms]\n[seeds]\nquick=3\n[measures]', "quick"),
+                (
+                    'about="a"\ntrial="t"\n[arms.x]\n[seeds]\nquick=[1,2]\nfull=[1,2]\n[measures.m]\nvalue="v"\narm="y"',
+                    "no arm is named 'y'",
+                ),
+            ):
                 Path(folder, "bad.toml").write_text(text)
                 with self.assertRaisesRegex(model.ExperimentError, wanted):
                     model.load("bad", Path(folder))
@@ -100,8 +136,12 @@
     def test_every_experiment_of_the_project_can_be_read_and_the_command_says_what_is_wrong(self) -> None:
         for name in model.names(ROOT / "experiments"):
             self.assertTrue(model.load(name, ROOT / "experiments").measures)
-        done = subprocess.run([sys.executable, "-m", "lotuspick", "lab", "verify", "nothing"], cwd=ROOT, capture_output=True,
-                              text=True)
+        done = subprocess.run(
+            [sys.executable, "-m", "lotuspick", "lab", "verify", "nothing"],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+        )
         self.assertEqual((done.returncode, done.stdout), (2, ""))
         self.assertIn("experiments/nothing.toml: No such file", done.stderr)
 
@@ -110,12 +150,15 @@
             Path(folder, "tiny.toml").write_text(
                 'about = "a"\ntrial = "moves"\n[world]\nday_s = 60.0\n[arms]\nx = { moves = 2, kills = 0, stale = 0 }\n'
                 '[seeds]\nquick = [1, 1]\nfull = [1, 2]\n[measures]\ndropped = { value = "dropped", arm = "x", total = true, most = 0 }\n'
-                'never = { value = "service", arm = "x", most = -1 }\n')
+                'never = { value = "service", arm = "x", most = -1 }\n'
+            )
             words = ["lab", "run", "tiny", "--dir", folder, "--results", folder, "--processes", "2"]
-            done = subprocess.run([sys.executable, "-m", "lotuspick", *words], cwd=ROOT, capture_output=True, text=True)
+            done = subprocess.run(
+                [sys.executable, "-m", "lotuspick", *words], cwd=ROOT, capture_output=True, text=True
+            )
             self.assertEqual(done.returncode, 1, done.stderr)
             self.assertIn("tiny: falls short dropped=0 never=", done.stdout)
-            self.assertEqual(sorted(path.name for path in Path(folder, "tiny").iterdir()),
-                             ["README.md", "chart.png", "measures.csv", "samples.json", "table.csv"])
-
-
+            self.assertEqual(
+                sorted(path.name for path in Path(folder, "tiny").iterdir()),
+                ["README.md", "chart.png", "measures.csv", "samples.json", "table.csv"],
+            )
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -27,7 +27,8 @@
     def test_for_a_dial(self) -> None:
         for leave in LEAVES:
             with self.subTest(leave):
-                self.play(f"""
+                self.play(
+                    f"""
                     v1 send SETUP s1 kind=exam left=9000
                     b expect LINE why="to
                     {leave}
@@ -37,25 +38,33 @@
                     e0 send OPEN
                     e0 expect SETUP s2
                     e0 expect NOTHING
-                """, rules=LATE, debug=True, e0="silent")
+                """,
+                    rules=LATE,
+                    debug=True,
+                    e0="silent",
+                )
 
     def test_for_a_server_that_can_be_used(self) -> None:
         """The last who waits stays, so that what waits is seen to be sent on once there is a server."""
         for leave in LEAVES:
             with self.subTest(leave):
-                self.play(f"""
+                self.play(
+                    f"""
                     v1 send SETUP s1 kind=exam left=9000
                     {leave}
                     v2 send SETUP s2 kind=exam left=9000
                     c send e0 state=up
                     e0 expect SETUP s2
                     e0 expect NOTHING
-                """, e0="draining")
+                """,
+                    e0="draining",
+                )
 
     def test_for_a_further_attempt(self) -> None:
         for leave in LEAVES:
             with self.subTest(leave):
-                self.play(f"""
+                self.play(
+                    f"""
                     v1 send SETUP s1 kind=exam copies=2 left=9000
                     e0 expect SETUP s1
                     v2 send SETUP s2 kind=exam copies=2 left=9000
@@ -66,12 +75,16 @@
                     c send e1 state=up
                     e1 expect SETUP s2
                     e1 expect NOTHING
-                """, e0="up", e1="draining")
+                """,
+                    e0="up",
+                    e1="draining",
+                )
 
     def test_unread_behind_a_broker_that_is_held_up(self) -> None:
         for leave in LEAVES[:3]:
             with self.subTest(leave):
-                self.play(f"""
+                self.play(
+                    f"""
                     v1 send OPTIONS
                     v1 expect 200
                     b send STOP
@@ -83,12 +96,15 @@
                     c send e0 state=up
                     e0 expect SETUP s2
                     e0 expect NOTHING
-                """, e0="draining")
+                """,
+                    e0="draining",
+                )
 
     def test_over_http_for_a_dial(self) -> None:
         for leave in ("p1 close", "p1 close reset"):
             with self.subTest(leave):
-                self.play(f"""
+                self.play(
+                    f"""
                     p1 send SETUP s1 kind=exam left=9000
                     b expect LINE why="to
                     {leave}
@@ -98,12 +114,18 @@
                     e0 send OPEN
                     e0 expect SETUP s2
                     e0 expect NOTHING
-                """, hints=True, rules=LATE, debug=True, e0="silent")
+                """,
+                    hints=True,
+                    rules=LATE,
+                    debug=True,
+                    e0="silent",
+                )
 
     def test_over_http_for_a_server_that_can_be_used(self) -> None:
         for leave in ("p1 close", "p1 close reset"):
             with self.subTest(leave):
-                self.play(f"""
+                self.play(
+                    f"""
                     p1 send SETUP s1 kind=exam left=9000
                     p2 send SETUP s2 kind=exam left=9000
                     v2 send OPTIONS
@@ -114,7 +136,10 @@
                     c send e0 state=up
                     e0 expect SETUP s2
                     e0 expect NOTHING
-                """, hints=True, e0="draining")
+                """,
+                    hints=True,
+                    e0="draining",
+                )
 
     def test_over_http_with_much_sent_behind_the_request(self) -> None:
         made = World(hints=True, e0="draining")
@@ -150,7 +175,8 @@
                 """)
 
     def test_one_that_closes_after_its_request_came_again_on_another(self) -> None:
-        self.play("""
+        self.play(
+            """
             v1 send SETUP s1 kind=exam left=9000
             v1 send OPTIONS
             v1 expect 200
@@ -166,7 +192,9 @@
             e0 expect SETUP s1
             e0 send ANSWER s1 body=one
             v2 expect 200 s1 body=one
-        """, e0="draining")
+        """,
+            e0="draining",
+        )
 
 
 class OtherWays(unittest.TestCase):
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -48,21 +48,36 @@
         closing = load(Phase("p", 10.0, 0.0, "closing", 600.0))
         self.assertAlmostEqual(part(closing, 9, 10) / len(closing), 0.5, delta=0.06)
         even = load(Phase("p", 10.0, 20.0, even=True))
-        self.assertEqual({later.at_us - each.at_us for each, later in zip(even, even[1:])} - {49_999, 50_000, 50_001}, set())
+        self.assertEqual(
+            {later.at_us - each.at_us for each, later in zip(even, even[1:])} - {49_999, 50_000, 50_001},
+            set(),
+        )
 
     def test_what_cannot_be_drawn_names_its_key(self) -> None:
-        for made, wanted in ((lambda: Phase("p", -1.0, 1.0), "seconds"), (lambda: Phase("p", 1.0, float("nan")), "rate"),
-                             (lambda: Phase("p", 1.0, 1.0, "saw"), "shape"), (lambda: Phase("p", 1.0, 1.0, crowd=0.5), "crowd"),
-                             (lambda: Kind("c", 0.5, 3.0, 2.0), "class c"), (lambda: Load([Phase("p", 1, 1)], KINDS[:1]), "classes"),
-                             (lambda: Load([], KINDS), "phases")):
+        for made, wanted in (
+            (lambda: Phase("p", -1.0, 1.0), "seconds"),
+            (lambda: Phase("p", 1.0, float("nan")), "rate"),
+            (lambda: Phase("p", 1.0, 1.0, "saw"), "shape"),
+            (lambda: Phase("p", 1.0, 1.0, crowd=0.5), "crowd"),
+            (lambda: Kind("c", 0.5, 3.0, 2.0), "class c"),
+            (lambda: Load([Phase("p", 1, 1)], KINDS[:1]), "classes"),
+            (lambda: Load([], KINDS), "phases"),
+        ):
             with self.assertRaisesRegex(LoadError, wanted):
                 made()
 
 
 class Traces(unittest.TestCase):
     def lines(self, *told: object) -> list[bytes]:
-        return [b'{"format": "lotuspick-trace", "version": 1}', *(each if isinstance(each, bytes) else json.dumps(
-            {"session": number, "cls": "repaso", "lesson": "a", **each}).encode() for number, each in enumerate(told, 1))]
+        return [
+            b'{"format": "lotuspick-trace", "version": 1}',
+            *(
+                each
+                if isinstance(each, bytes)
+                else json.dumps({"session": number, "cls": "repaso", "lesson": "a", **each}).encode()
+                for number, each in enumerate(told, 1)
+            ),
+        ]
 
     def test_what_is_written_is_read(self) -> None:
         found = load(Phase("p", 5.0, 40.0))
@@ -72,11 +87,28 @@
         self.assertEqual(back.faults, [])
 
     def test_gaps_clocks_that_were_set_ids_that_come_twice_and_broken_lines_are_told_by_line(self) -> None:
-        back = trace.read(self.lines({"at": 1_000_000}, {"at": 2_000_000}, b'{"at": 3', {"at": 500_000}, {"at": 900_000},
-                                     {"at": 30_000_000}, {"at": 30_500_000, "session": 1}, {"at": -5}, b"\xff\xfe", b""))
-        self.assertEqual([(each.line, each.kind) for each in back.faults], [
-            (4, "broken"), (5, "clock"), (7, "gap"), (8, "twice"), (9, "broken"), (10, "broken")])
-        self.assertEqual([each.at_us for each in back.arrivals], [0, 1_000_000, 1_000_000, 1_400_000, 30_500_000, 31_000_000])
+        back = trace.read(
+            self.lines(
+                {"at": 1_000_000},
+                {"at": 2_000_000},
+                b'{"at": 3',
+                {"at": 500_000},
+                {"at": 900_000},
+                {"at": 30_000_000},
+                {"at": 30_500_000, "session": 1},
+                {"at": -5},
+                b"\xff\xfe",
+                b"",
+            )
+        )
+        self.assertEqual(
+            [(each.line, each.kind) for each in back.faults],
+            [(4, "broken"), (5, "clock"), (7, "gap"), (8, "twice"), (9, "broken"), (10, "broken")],
+        )
+        self.assertEqual(
+            [each.at_us for each in back.arrivals],
+            [0, 1_000_000, 1_000_000, 1_400_000, 30_500_000, 31_000_000],
+        )
         self.assertEqual(len({each.session for each in back.arrivals}), 6)
         short = trace.cut(back, 1.0, speed=2.0, longest_gap_s=4.0)
         self.assertEqual([each.at_us for each in short.arrivals], [0, 0, 200_000, 2_200_000, 2_450_000])
@@ -89,8 +121,16 @@
                 trace.read(lines)
 
     @examples(max_examples=60)
-    @given(st.lists(st.binary(max_size=40) | st.builds(lambda at: json.dumps(
-        {"at": at, "session": 1, "cls": "c", "lesson": "l"}).encode(), st.integers(-10, 10**7)), max_size=20))
+    @given(
+        st.lists(
+            st.binary(max_size=40)
+            | st.builds(
+                lambda at: json.dumps({"at": at, "session": 1, "cls": "c", "lesson": "l"}).encode(),
+                st.integers(-10, 10**7),
+            ),
+            max_size=20,
+        )
+    )
     def test_whatever_comes_is_read_in_order_of_time(self, told: list[bytes]) -> None:
         back = trace.read(self.lines(*told))
         times = [each.at_us for each in back.arrivals]
@@ -105,7 +145,9 @@
         for at in range(10_000):
             due = at * 1_000
             found.sent(due, due)
-            found.answered("c", "p", "200", due, max(due, 7_000_000 if 5_000_000 <= due < 7_000_000 else 0) + 2_000)
+            found.answered(
+                "c", "p", "200", due, max(due, 7_000_000 if 5_000_000 <= due < 7_000_000 else 0) + 2_000
+            )
             clock = max(clock, due)
             if clock < 10_000_000 and waits.lag.get_total_count() < 5_000:
                 end = (7_000_000 if 5_000_000 <= clock < 7_000_000 else clock) + 2_000
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -99,7 +99,9 @@
         made = fleet(5, 5)
         made.stall("h2", 3 * SECOND)
         made.run(4 * SECOND)
-        self.assertEqual({news.record.name for _, news in made.news(Changed) if news.record.state is State.DEAD}, {"b2"})
+        self.assertEqual(
+            {news.record.name for _, news in made.news(Changed) if news.record.state is State.DEAD}, {"b2"}
+        )
         self.assertEqual({host for host, _ in made.news(Stalled)}, {"h2"})
         self.assertLess(made.agree_s(), 5)
 
@@ -107,7 +109,9 @@
         made = fleet(7, 6)
         made.cut(made.names[1:], ["h0"], both=False)  # it hears nobody, and all hear it
         made.run(20 * SECOND)
-        self.assertEqual([host for _, host in made.deaths("b2", "b3", "b4", "b5", "b6", "b1") if host != "h0"], [])
+        self.assertEqual(
+            [host for _, host in made.deaths("b2", "b3", "b4", "b5", "b6", "b1") if host != "h0"], []
+        )
         made.heal()
         self.assertLess(made.agree_s(), 5)
 
@@ -117,7 +121,9 @@
             made.cut(made.names[:apart], made.names[apart:])
             made.run(10 * SECOND)
             self.assertEqual(made.reach(), {apart, count - apart})
-            self.assertEqual({len(made.hosts[name].machine.alive()) for name in made.names[apart:]}, {count - apart})
+            self.assertEqual(
+                {len(made.hosts[name].machine.alive()) for name in made.names[apart:]}, {count - apart}
+            )
             made.heal()
             self.assertLess(made.agree_s(), 5)
             for _ in range(10):
@@ -148,7 +154,10 @@
                 heard(members, said)
 
         heard = Members._doubted
-        with mock.patch.object(Members, "_doubted", deaf), mock.patch.object(Members, "_sign", lambda *_: None):
+        with (
+            mock.patch.object(Members, "_doubted", deaf),
+            mock.patch.object(Members, "_sign", lambda *_: None),
+        ):
             self.assertGreater(self.deaths(), 0)
 
     def test_without_going_round_a_cut_link_buries_the_living(self) -> None:
@@ -156,8 +165,9 @@
             made = fleet(5, 3, quorum=1)
             made.cut(made.names[:1], made.names[1:2])
             made.run(30 * SECOND)
-            self.assertGreater(len(made.deaths()) + sum(
-                host.machine.false_accusations for host in made.hosts.values()), 0)
+            self.assertGreater(
+                len(made.deaths()) + sum(host.machine.false_accusations for host in made.hosts.values()), 0
+            )
 
     def test_one_that_forgets_its_life_is_told_apart_from_its_earlier_self_by_nothing(self) -> None:
         with mock.patch.object(Members, "_rise", lambda *_: None):
@@ -252,8 +262,19 @@
         members = made.hosts["h0"].machine
         of = members.records["b1"]
         for at in range(50):
-            made.ask("h0", Heard("h9", Ping(1, [Accusation("b1", of.life, of.run, of.turn, f"stranger{at}"),
-                                                Accusation("b0", 1, members.own.run, members.own.turn, f"stranger{at}")])))
+            made.ask(
+                "h0",
+                Heard(
+                    "h9",
+                    Ping(
+                        1,
+                        [
+                            Accusation("b1", of.life, of.run, of.turn, f"stranger{at}"),
+                            Accusation("b0", 1, members.own.run, members.own.turn, f"stranger{at}"),
+                        ],
+                    ),
+                ),
+            )
         self.assertEqual((members.accused(), len(members.reached())), ({}, 3))
 
     def test_messages_do_not_grow_with_the_fleet(self) -> None:
@@ -340,8 +361,12 @@
         self.assertEqual({self.standings[name].now for name in made.names[3:]}, {Standing.MINORITY})
 
     def test_settings_take_away_and_never_add(self) -> None:
-        for allowed, wanted in (({"minority": ("plain", "paid")}, "two brokers act"), ({"whole": ("paid",)}, "plain"),
-                                ({"alone": ("plain", "lead")}, "lead"), ({"there": ("plain",)}, "a standing is")):
+        for allowed, wanted in (
+            ({"minority": ("plain", "paid")}, "two brokers act"),
+            ({"whole": ("paid",)}, "plain"),
+            ({"alone": ("plain", "lead")}, "lead"),
+            ({"there": ("plain",)}, "a standing is"),
+        ):
             with self.assertRaisesRegex(MembershipFault, wanted):
                 StandingRules(5, allowed=allowed)
         self.assertRaisesRegex(MembershipFault, "brokers", StandingRules, 0)
@@ -356,7 +381,9 @@
     def test_what_promises_waits_for_the_write_before_it(self) -> None:
         box = Outbox()
         early, later, timer = Send("a", 1), Send("a", 2), SetTimer("t", 5)
-        self.assertEqual(box.put([early, Write("k", b"1"), later, timer, Tell("x")]), [early, Write("k", b"1"), timer])
+        self.assertEqual(
+            box.put([early, Write("k", b"1"), later, timer, Tell("x")]), [early, Write("k", b"1"), timer]
+        )
         self.assertEqual(box.put([Send("b", 3), Write("k", b"2"), Send("b", 4)]), [Write("k", b"2")])
         self.assertEqual(box.lasts(1), [later, Tell("x"), Send("b", 3)])
         self.assertEqual(box.lasts(2), [Send("b", 4)])
@@ -368,7 +395,9 @@
         ready = box.put(made.step(0, Asked(Begin("b", "h", ("s",)))))
         self.assertFalse([each for each in ready if isinstance(each, Send)])
         self.assertIn(Write(LIFE, b"7"), ready)
-        self.assertEqual(box.lasts(1)[-1], Send("s", Sync([], answer=True), sure=True))  # it learns before it claims
+        self.assertEqual(
+            box.lasts(1)[-1], Send("s", Sync([], answer=True), sure=True)
+        )  # it learns before it claims
         made.step(1, Lasting(1))
         ready = box.put(made.step(2, Heard("s", Sync([Record("b", 9, 5)]))))
         self.assertEqual([each for each in ready if isinstance(each, (Send, Write))], [Write(LIFE, b"10")])
@@ -379,20 +408,31 @@
         made = Members()
         made.step(0, Started({}, 1))
         made.step(0, Asked(Begin("b", "h")))
-        for message in (Sync([Record("", 1, 1)]), Sync([Record("x" * 65, 1, 1)]), Sync([Record("x", -1, 1)]), "nonsense",
-                        Ack(1, news=[Record("x\n", 1, 1)])):
+        for message in (
+            Sync([Record("", 1, 1)]),
+            Sync([Record("x" * 65, 1, 1)]),
+            Sync([Record("x", -1, 1)]),
+            "nonsense",
+            Ack(1, news=[Record("x\n", 1, 1)]),
+        ):
             made.step(1, Heard("p", message))
         self.assertEqual((made.refused, [each.name for each in made.alive()]), ({"p": 5}, ["b"]))
         self.assertRaises(MembershipFault, checked, Record("x", 1, 1, offers=("o",) * 17))
 
     def test_rules_that_would_bury_the_living_are_refused(self) -> None:
-        for changes, wanted in (({"period_us": 0}, "period_us"), ({"silent_us": 300_000}, "silent_us"),
-                                ({"doubt_us": 1}, "doubt_us"), ({"quorum": 5}, "quorum")):
+        for changes, wanted in (
+            ({"period_us": 0}, "period_us"),
+            ({"silent_us": 300_000}, "silent_us"),
+            ({"doubt_us": 1}, "doubt_us"),
+            ({"quorum": 5}, "quorum"),
+        ):
             with self.assertRaisesRegex(MembershipFault, wanted):
                 Rules(**changes)
 
 
-RECORDS = st.builds(Record, st.just("b"), st.integers(1, 3), st.integers(1, 3), st.integers(0, 3), st.sampled_from(State))
+RECORDS = st.builds(
+    Record, st.just("b"), st.integers(1, 3), st.integers(1, 3), st.integers(0, 3), st.sampled_from(State)
+)
 
 
 class Merging(unittest.TestCase):
@@ -448,8 +488,11 @@
     @rule(sides=st.integers(0, 31), both=st.booleans())
     def cut(self, sides: int, both: bool) -> None:
         names = self.made.names
-        self.made.cut([each for at, each in enumerate(names) if sides >> at & 1],
-                      [each for at, each in enumerate(names) if not sides >> at & 1], both)
+        self.made.cut(
+            [each for at, each in enumerate(names) if sides >> at & 1],
+            [each for at, each in enumerate(names) if not sides >> at & 1],
+            both,
+        )
 
     @rule(loss=st.sampled_from([0.0, 0.1, 0.4]))
     def heal(self, loss: float) -> None:
@@ -487,14 +530,29 @@
 
 
 FAULTS = st.builds(
-    lambda at, do, one, other, both, part: (at, do, one, other, both, part), st.integers(0, 40), st.sampled_from(KINDS),
-    st.sets(st.integers(0, 2), min_size=1, max_size=2), st.sets(st.integers(0, 2), max_size=1), st.booleans(), st.sampled_from([0.1, 0.4]))
+    lambda at, do, one, other, both, part: (at, do, one, other, both, part),
+    st.integers(0, 40),
+    st.sampled_from(KINDS),
+    st.sets(st.integers(0, 2), min_size=1, max_size=2),
+    st.sets(st.integers(0, 2), max_size=1),
+    st.booleans(),
+    st.sampled_from([0.1, 0.4]),
+)
 
 
 def told(drawn: list[Any]) -> list[Fault]:
     """A story that can be played: in the order of time, nobody started that is up."""
-    story = [Fault(at / 10, do, tuple(sorted(one)), tuple(sorted(other - one)), both, part if do in ("loss", "delay") else 0.0)
-             for at, do, one, other, both, part in drawn]
+    story = [
+        Fault(
+            at / 10,
+            do,
+            tuple(sorted(one)),
+            tuple(sorted(other - one)),
+            both,
+            part if do in ("loss", "delay") else 0.0,
+        )
+        for at, do, one, other, both, part in drawn
+    ]
     return sorted(story, key=lambda fault: fault.at_s)
 
 
@@ -517,17 +575,27 @@
 
     def test_a_planted_fault_is_told_as_a_short_story_that_can_be_played_again(self) -> None:
         with mock.patch.object(Members, "_exchange", lambda *_: None):
-            found = told(find(st.lists(FAULTS, max_size=6), lambda drawn: not settles(told(drawn)),
-                              settings=settings(max_examples=100, deadline=None, derandomize=True, database=None)))
+            found = told(
+                find(
+                    st.lists(FAULTS, max_size=6),
+                    lambda drawn: not settles(told(drawn)),
+                    settings=settings(max_examples=100, deadline=None, derandomize=True, database=None),
+                )
+            )
             self.assertLessEqual(len(found), 2)
             again = parse(write(found), 3)
             self.assertEqual((again, settles(again)), (found, False))
         self.assertTrue(settles(again))
 
     def test_a_story_that_cannot_be_played_is_refused_by_name(self) -> None:
-        for text, wanted in (("= 3", "TOML"), ('[[fault]]\ndo = "burn"', "fault 1: do must be"), ('[[fault]]\ndo = "kill"', "must say who"),
-                             ('[[fault]]\ndo = "cut"\none = [7]', "from 0 to 2"), ('[[fault]]\ndo = "cut"\nwho = 1', "who is not"),
-                             ('[[fault]]\ndo = "cut"\nat_s = "x"', "fault 1")):
+        for text, wanted in (
+            ("= 3", "TOML"),
+            ('[[fault]]\ndo = "burn"', "fault 1: do must be"),
+            ('[[fault]]\ndo = "kill"', "must say who"),
+            ('[[fault]]\ndo = "cut"\none = [7]', "from 0 to 2"),
+            ('[[fault]]\ndo = "cut"\nwho = 1', "who is not"),
+            ('[[fault]]\ndo = "cut"\nat_s = "x"', "fault 1"),
+        ):
             with self.subTest(text), self.assertRaisesRegex(StoryFault, wanted):
                 parse(text, 3)
 
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -25,14 +25,25 @@
 NOW = 20 * SECOND
 
 
-@pytest.mark.parametrize("change", [
-    {"classes": [ClassSettings("clip", SECOND, effect="keyed", group="zone")]},
-    {"classes": [ClassSettings("clip", SECOND, live=True)], "join": 0.2},
-    {"weights": "nominal"}, {"weights": "rough"}, {"weights": "live"},
-    {"racks": 1, "uplink_kb": 3000.0}, {"tell_us": 0, "seen_after_us": 0}, {"positions": 1},
-    {"ladder_kb": (100.0,), "rung_worth": (1.0,)}, {"gateways": 1}, {"cold_us": 0},
-    {"tenant_rates": {"t": 1.0}}, {"refuses_from": 1.0}, {"max_attempts": 1},
-])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"classes": [ClassSettings("clip", SECOND, effect="keyed", group="zone")]},
+        {"classes": [ClassSettings("clip", SECOND, live=True)], "join": 0.2},
+        {"weights": "nominal"},
+        {"weights": "rough"},
+        {"weights": "live"},
+        {"racks": 1, "uplink_kb": 3000.0},
+        {"tell_us": 0, "seen_after_us": 0},
+        {"positions": 1},
+        {"ladder_kb": (100.0,), "rung_worth": (1.0,)},
+        {"gateways": 1},
+        {"cold_us": 0},
+        {"tenant_rates": {"t": 1.0}},
+        {"refuses_from": 1.0},
+        {"max_attempts": 1},
+    ],
+)
 def test_served_under_other_settings(change: dict[str, Any]) -> None:
     made = Controller(settings(**change), 1)
     cells = change.get("positions", 4)
@@ -52,17 +63,29 @@
     assert of(made.handle(NOW, [request("a", NOW)]), Send)  # the list held before the failure still stands
 
 
-def test_who_comes_while_all_that_can_be_held_is_open_is_told_to_return_as_the_settings_allow(monkeypatch: Any) -> None:
+def test_who_comes_while_all_that_can_be_held_is_open_is_told_to_return_as_the_settings_allow(
+    monkeypatch: Any,
+) -> None:
     monkeypatch.setattr(loop, "MOST_OPEN", 1)
     for gap_ms in (0, 700):
         told = Mock(open=True)
-        made = loop.Loop(Mock(handle=Mock(return_value=[])), Mock(), lambda: 0, lambda at: None, 10, frozenset({"clip"}), gap_ms)
+        made = loop.Loop(
+            Mock(handle=Mock(return_value=[])),
+            Mock(),
+            lambda: 0,
+            lambda at: None,
+            10,
+            frozenset({"clip"}),
+            gap_ms,
+        )
         made.post(Asked(request("a"), viewer=Mock(open=True)))
         made.post(Asked(request("b"), viewer=told))
         made.tick()
         told.refused.assert_called_once_with("b", gap_ms)
-    asked = [loop.stay_away_ms(settings(retry_after=after, max_retry_after_us=most))
-             for after, most in ((False, 2 * SECOND), (True, SECOND // 2), (True, 5 * SECOND))]
+    asked = [
+        loop.stay_away_ms(settings(retry_after=after, max_retry_after_us=most))
+        for after, most in ((False, 2 * SECOND), (True, SECOND // 2), (True, 5 * SECOND))
+    ]
     assert asked == [0, 500, 1_000]
 
 
@@ -71,4 +94,6 @@
     made.handle(0, [ServerList([entry(0)], complete=True)])
     assert of(made.handle(NOW, [request("a", NOW, copies=1)]), Send)
     assert not of(made.handle(NOW, [request("b", NOW, copies=1)]), Send)
-    assert [send.session for send in of(made.handle(NOW + 1, [Ended("a", 0, "s0", "served", final=True)]), Send)] == ["b"]
+    assert [
+        send.session for send in of(made.handle(NOW + 1, [Ended("a", 0, "s0", "served", final=True)]), Send)
+    ] == ["b"]
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -37,9 +37,17 @@
 
 ID = "9b1f03aa5c7e2d41"
 TERMS = rtsp.Terms(frozenset({"paid"}), positions=12, rungs=5)
-HEAD = [b"SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0", b"CSeq: 1", f"Session: {ID}".encode(), b"P-Kind: paid",
-        b"P-Time-Left: 1500", b"X-Length: 8200.0", b"P-Path: home:4;copies:3;top:4;viewer:00000000b4d65521;again:1",
-        b"Content-Length: 3", b""]
+HEAD = [
+    b"SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0",
+    b"CSeq: 1",
+    f"Session: {ID}".encode(),
+    b"P-Kind: paid",
+    b"P-Time-Left: 1500",
+    b"X-Length: 8200.0",
+    b"P-Path: home:4;copies:3;top:4;viewer:00000000b4d65521;again:1",
+    b"Content-Length: 3",
+    b"",
+]
 
 
 def decode(lines: list[bytes], body: bytes) -> rtsp.Message | None:
@@ -61,12 +69,16 @@
         self.assertEqual(asked.description, b"abc")
 
     def test_each_bad_field_is_named(self) -> None:
-        for good, bad, fault in ((b"Session: " + ID.encode(), b"Session: 12", "Session"),
-                                 (b"P-Time-Left: 1500", b"P-Time-Left: -1", "P-Time-Left"),
-                                 (b"P-Kind: paid", b"P-Kind: free", "P-Kind"),
-                                 (b"home:4;", b"home:x;", "home"), (b"copies:3;", b"", "copies"),
-                                 (b"top:4;", b"top;", "P-Path"), (b"P-Kind: paid", b"P-Kinds: paid", "P-Kind"),
-                                 (b"media/7f3a9c21e0b4d655", b"media/", "title")):
+        for good, bad, fault in (
+            (b"Session: " + ID.encode(), b"Session: 12", "Session"),
+            (b"P-Time-Left: 1500", b"P-Time-Left: -1", "P-Time-Left"),
+            (b"P-Kind: paid", b"P-Kind: free", "P-Kind"),
+            (b"home:4;", b"home:x;", "home"),
+            (b"copies:3;", b"", "copies"),
+            (b"top:4;", b"top;", "P-Path"),
+            (b"P-Kind: paid", b"P-Kinds: paid", "P-Kind"),
+            (b"media/7f3a9c21e0b4d655", b"media/", "title"),
+        ):
             lines = [line.replace(good, bad) for line in HEAD]
             with self.subTest(bad), self.assertRaisesRegex(ProtocolFault, fault):
                 message = decode(lines, b"abc")
@@ -86,18 +98,31 @@
 
     def test_what_no_edge_message_could_hold_is_turned_away_at_the_door(self) -> None:
         for size, good in ((MOST_BYTES - 300, True), (MOST_BYTES - 200, False)):
-            message = rtsp.Message("SETUP", rtsp.BASE + "t" * 16, headers={
-                "session": ID, "p-kind": "paid", "p-time-left": "9", "p-path": "home:0;copies:1;top:0"}, body=b"x" * size)
+            message = rtsp.Message(
+                "SETUP",
+                rtsp.BASE + "t" * 16,
+                headers={
+                    "session": ID,
+                    "p-kind": "paid",
+                    "p-time-left": "9",
+                    "p-path": "home:0;copies:1;top:0",
+                },
+                body=b"x" * size,
+            )
             if good:
-                edge.set_up(SetUp(ID, "paid", "t" * 16, 2, 9, rtsp.read_set_up(message, 0, TERMS).description))
+                edge.set_up(
+                    SetUp(ID, "paid", "t" * 16, 2, 9, rtsp.read_set_up(message, 0, TERMS).description)
+                )
             else:
                 with self.assertRaisesRegex(ProtocolFault, "too long"):
                     rtsp.read_set_up(message, 0, TERMS)
 
     def test_the_bound_holds_for_heads_and_bodies(self) -> None:
-        for lines in ([HEAD[0], *(b"h%d: %s" % (n, b"x" * 1_000) for n in range(20))],
-                      [*HEAD[:7], b"Content-Length: %d" % MOST_BYTES, b""],
-                      [HEAD[0], *(b"h%d: x" % n for n in range(200))]):
+        for lines in (
+            [HEAD[0], *(b"h%d: %s" % (n, b"x" * 1_000) for n in range(20))],
+            [*HEAD[:7], b"Content-Length: %d" % MOST_BYTES, b""],
+            [HEAD[0], *(b"h%d: x" % n for n in range(200))],
+        ):
             with self.assertRaises(ProtocolFault):
                 decode(lines, b"")
 
@@ -122,20 +147,24 @@
     def test_set_up_and_back(self) -> None:
         message = edge.decode(edge.set_up(SetUp(ID, "paid", "t", 2, 1_500, b"a\r\n")))
         self.assertEqual((message.kind, message.session), (1, ID))
-        self.assertEqual(dict(message.parameters),
-                         {100: b"paid", 102: b"1500", 108: b"t", 122: b"2", 130: b"a\r\n"})
+        self.assertEqual(
+            dict(message.parameters), {100: b"paid", 102: b"1500", 108: b"t", 122: b"2", 130: b"a\r\n"}
+        )
 
     def test_what_messages_tell(self) -> None:
         report = {118: b"outstanding:44.4;x0:0.838;queue:3;x1:nan"}
         told = {"streams": 44.4, "link": 0.838}
         for kind, parameters, item in (
-                (9, {130: b"d"}, EdgeAnswered("e", ID, b"d")),
-                (12, {128: b"\x22", **report}, EdgeReleased("e", ID, Ending.TURNED_AWAY, Ending.CUT, told)),
-                (12, {128: b"\x10"}, EdgeReleased("e", ID, Ending.BROKEN, Ending.FINISHED)),
-                (12, {128: b"\x1f"}, EdgeReleased("e", ID, Ending.BROKEN, Ending.REVOKED)),
-                (12, {128: b"\x66"}, EdgeReleased("e", ID, Ending.MOOT, Ending.CUT)),
-                (44, {114: b"nic", 124: b"0.5"}, EdgeNoted("e", ID, "link", 0.5)),
-                (44, {114: b"nic", 124: b"x"}, None), (44, {114: b"new", 124: b"1"}, None), (6, {}, None)):
+            (9, {130: b"d"}, EdgeAnswered("e", ID, b"d")),
+            (12, {128: b"\x22", **report}, EdgeReleased("e", ID, Ending.TURNED_AWAY, Ending.CUT, told)),
+            (12, {128: b"\x10"}, EdgeReleased("e", ID, Ending.BROKEN, Ending.FINISHED)),
+            (12, {128: b"\x1f"}, EdgeReleased("e", ID, Ending.BROKEN, Ending.REVOKED)),
+            (12, {128: b"\x66"}, EdgeReleased("e", ID, Ending.MOOT, Ending.CUT)),
+            (44, {114: b"nic", 124: b"0.5"}, EdgeNoted("e", ID, "link", 0.5)),
+            (44, {114: b"nic", 124: b"x"}, None),
+            (44, {114: b"new", 124: b"1"}, None),
+            (6, {}, None),
+        ):
             with self.subTest(kind=kind, parameters=parameters):
                 self.assertEqual(edge.read("e", edge.decode(edge.encode(kind, ID, parameters))), item)
 
@@ -148,32 +177,65 @@
 
 
 class Json(unittest.TestCase):
-    SERVER = {"id": "s-1", "addr": "127.0.0.1:1", "zone": "z", "kind": "k", "cell": 2, "state": "in_service",
-              "weight": 4, "started_ms": 5}
+    SERVER = {
+        "id": "s-1",
+        "addr": "127.0.0.1:1",
+        "zone": "z",
+        "kind": "k",
+        "cell": 2,
+        "state": "in_service",
+        "weight": 4,
+        "started_ms": 5,
+    }
 
     def answer(self, *servers: object) -> bytes:
-        updates = [{"index": 1 + each, "endpoints": {"full": False, "servers": [server]}}
-                   for each, server in enumerate(servers)]
+        updates = [
+            {"index": 1 + each, "endpoints": {"full": False, "servers": [server]}}
+            for each, server in enumerate(servers)
+        ]
         return json.dumps({"index": len(servers), "updates": updates}).encode()
 
     def test_changes_after_an_index(self) -> None:
         answer = coordinator.parse(self.answer(self.SERVER, {**self.SERVER, "state": "terminated"}), 1)
         self.assertEqual((answer.last, answer.faults, len(answer.changes)), (2, [], 1))
         entry = answer.changes[0].news.servers[0]
-        self.assertEqual((entry.server, entry.state, entry.position, entry.started_us), ("s-1", "gone", 2, 5_000))
+        self.assertEqual(
+            (entry.server, entry.state, entry.position, entry.started_us), ("s-1", "gone", 2, 5_000)
+        )
         self.assertEqual(answer.changes[0].addresses, {"s-1": ("127.0.0.1", 1)})
 
     def test_a_bad_update_is_named_and_passed_over(self) -> None:
-        for key, value in (("state", "odd"), ("addr", "nowhere"), ("cell", "x"), ("id", None), ("weight", True),
-                           ("started_ms", float("inf"))):
+        for key, value in (
+            ("state", "odd"),
+            ("addr", "nowhere"),
+            ("cell", "x"),
+            ("id", None),
+            ("weight", True),
+            ("started_ms", float("inf")),
+        ):
             answer = coordinator.parse(self.answer({**self.SERVER, key: value}, self.SERVER), 0)
             with self.subTest(key):
                 self.assertEqual(len(answer.changes), 1)
                 self.assertIn({"addr": "address"}.get(key, key), answer.faults[0])
 
-    @given(st.recursive(st.none() | st.booleans() | st.floats() | st.text(max_size=8) | st.sampled_from(
-        ["index", "updates", "events", "session", ID]), lambda inner: st.lists(inner, max_size=3) | st.dictionaries(
-            st.sampled_from(["index", "updates", "endpoints", "servers", "events", "over", "session"]), inner)))
+    @given(
+        st.recursive(
+            st.none()
+            | st.booleans()
+            | st.floats()
+            | st.text(max_size=8)
+            | st.sampled_from(["index", "updates", "events", "session", ID]),
+            lambda inner: (
+                st.lists(inner, max_size=3)
+                | st.dictionaries(
+                    st.sampled_from(
+                        ["index", "updates", "endpoints", "servers", "events", "over", "session"]
+                    ),
+                    inner,
+                )
+            ),
+        )
+    )
     def test_any_json(self, told: object) -> None:
         for read in (lambda text: coordinator.parse(text, 0), lambda text: nodes.events("n", text)):
             try:
@@ -183,9 +245,15 @@
 
 
 class Hints(unittest.TestCase):
-    @given(st.text(max_size=40) | st.from_regex(r'(br|bl|bs|mtp|cid|ot)=?[0-9a-z"?.(]{0,6}(,[a-z]{1,3})?', fullmatch=True))
+    @given(
+        st.text(max_size=40)
+        | st.from_regex(r'(br|bl|bs|mtp|cid|ot)=?[0-9a-z"?.(]{0,6}(,[a-z]{1,3})?', fullmatch=True)
+    )
     def test_any_text(self, text: str) -> None:
-        for read in (lambda: cmcd.read({}, text), lambda: cmsd.hint("n", {cmsd.DYNAMIC: text, cmsd.STATIC: text})):
+        for read in (
+            lambda: cmcd.read({}, text),
+            lambda: cmsd.hint("n", {cmsd.DYNAMIC: text, cmsd.STATIC: text}),
+        ):
             try:
                 read()
             except ProtocolFault as fault:
@@ -232,13 +300,25 @@
 
     def test_a_crowd_that_says_nothing_is_closed_many_at_once_and_shared_connections_one_by_one(self) -> None:
         now = [0]
-        made = Loop(Mock(handle=Mock(return_value=[])), Mock(), lambda: now[0], lambda at: None, 1_000, frozenset({"clip"}))
+        made = Loop(
+            Mock(handle=Mock(return_value=[])),
+            Mock(),
+            lambda: now[0],
+            lambda at: None,
+            1_000,
+            frozenset({"clip"}),
+        )
         shared = [Mock(open=True, heard_us=1 + number) for number in range(3)]
         crowd = [Mock(open=True, heard_us=0) for _ in range(40)]
         for viewer in shared:
             made.post(ViewerCame(viewer))
             for number in range(4):
-                made.post(Asked(SessionPlaying(**asdict(request(f"{id(viewer)}-{number}")), server="s0"), viewer=viewer))
+                made.post(
+                    Asked(
+                        SessionPlaying(**asdict(request(f"{id(viewer)}-{number}")), server="s0"),
+                        viewer=viewer,
+                    )
+                )
         made.tick()
         self.assertEqual(made.spare(8), [], "their next request may be on its way")
         now[0] = 1_000_000
@@ -252,11 +332,12 @@
         self.assertEqual(made.spare(8), crowd[1:9])
         for number, viewer in enumerate(crowd):
             viewer.heard_us = now[0] - number  # OPTIONS, and nothing more
-        self.assertEqual(made.spare(8), [], "nor are those closed that have just said something, whatever it was")
+        self.assertEqual(
+            made.spare(8), [], "nor are those closed that have just said something, whatever it was"
+        )
         now[0] += 1_000_000
         self.assertEqual(made.spare(8), crowd[:-9:-1], "who said nothing for longest goes first")
 
-
     def test_those_that_are_being_closed_are_room_for_all_newcomers_of_one_look(self) -> None:
         class Pipe(StringTransport):
             shut = False
@@ -278,8 +359,14 @@
             viewer.makeConnection(Pipe())
             return viewer
 
-        made = RtspFront(Clock(), lambda item: None, lambda: True, Mock(), 64,
-                         lambda most: [each for each in made.viewers if each.open][:most])
+        made = RtspFront(
+            Clock(),
+            lambda item: None,
+            lambda: True,
+            Mock(),
+            64,
+            lambda most: [each for each in made.viewers if each.open][:most],
+        )
         before = [come() for _ in range(64)]
         after = [come() for _ in range(3)]
         closed = [each for each in before if not each.open]
@@ -287,7 +374,9 @@
         self.assertTrue(all(each.transport.shut for each in closed), "their viewers hear of it at once")
         for each in closed:
             each.connectionLost(Failure(error.ConnectionAborted()))
-        self.assertEqual((len(made.viewers), made.leaving, [each.open for each in after]), (64, set(), [True] * 3))
+        self.assertEqual(
+            (len(made.viewers), made.leaving, [each.open for each in after]), (64, set(), [True] * 3)
+        )
 
 
 class EdgeLinks(unittest.TestCase):
@@ -355,7 +444,9 @@
         old.transport.loseWriteConnection.assert_not_called()
         self.clock.pump([0.1] * 11)
         old.transport.loseWriteConnection.assert_called_once()
-        old.dataReceived(b"\x00\x0d\x0c" + bytes.fromhex(ID) + b"\x80\x00\x01\x10")  # was on its way: heard all the same
+        old.dataReceived(
+            b"\x00\x0d\x0c" + bytes.fromhex(ID) + b"\x80\x00\x01\x10"
+        )  # was on its way: heard all the same
         self.assertEqual(self.posted[-1], EdgeReleased("e", ID, Ending.BROKEN, Ending.FINISHED))
         self.clock.pump([0.1] * 11)
         self.assertFalse(old.up)  # the other side need not close
@@ -390,7 +481,9 @@
         """At a release many die together, and a dial at every broker to all the others would find them well."""
         links = self.links("a", "a", "a")
         leaving = [ServerEntry(link.edge, "a", "box", 0, "draining") for link in links[:2]]
-        self.pool.named(ServerList(leaving), {link.edge: ("127.0.0.1", 9 + at) for at, link in enumerate(links)})
+        self.pool.named(
+            ServerList(leaving), {link.edge: ("127.0.0.1", 9 + at) for at, link in enumerate(links)}
+        )
         self.clock.advance(3.0)
         for link in links[:2]:
             link._not_up(Ending.DIAL_REFUSED, link.address)
@@ -491,7 +584,9 @@
         self.assertEqual([each.frame for each in self.link.queue], [b"release"])
         self.link._not_up(Ending.DIAL_REFUSED, self.link.address)
         self.assertFalse(self.link.queue)
-        self.assertEqual(self.posted, [AttemptOver("e", "s", Ending.DIAL_TIMEOUT), EdgeDown("e", Ending.DOWN)])
+        self.assertEqual(
+            self.posted, [AttemptOver("e", "s", Ending.DIAL_TIMEOUT), EdgeDown("e", Ending.DOWN)]
+        )
 
     def test_what_waits_at_a_server_that_is_given_up_never_left(self) -> None:
         self.link.queue.append(Queued(b"x", "s"))
@@ -503,8 +598,19 @@
     def test_every_ending_has_an_outcome_and_only_proof_counts_as_proof(self) -> None:
         self.assertEqual(set(OUTCOMES), set(Ending))
         proofs = {ending.name for ending, outcome in OUTCOMES.items() if outcome in NEVER_RAN}
-        self.assertEqual(proofs, {"DIAL_REFUSED", "DIAL_TIMEOUT", "DIAL_FAILED", "NO_ADDRESS", "QUEUE_FULL", "UNSENT",
-                                  "TURNED_AWAY", "MOOT"})
+        self.assertEqual(
+            proofs,
+            {
+                "DIAL_REFUSED",
+                "DIAL_TIMEOUT",
+                "DIAL_FAILED",
+                "NO_ADDRESS",
+                "QUEUE_FULL",
+                "UNSENT",
+                "TURNED_AWAY",
+                "MOOT",
+            },
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -73,7 +73,9 @@
     def setUp(self) -> None:
         self.reactor = MemoryReactorClock()
         self.heard: list[tuple[str, Any]] = []
-        self.peers = Peers(self.reactor, "127.0.0.1", lambda peer, message: self.heard.append((peer, message)))
+        self.peers = Peers(
+            self.reactor, "127.0.0.1", lambda peer, message: self.heard.append((peer, message))
+        )
         self.peers.address = "127.0.0.1:1"
 
     def dialled(self, greeted: bool = True) -> Any:
@@ -97,7 +99,9 @@
         return self.peers.send(peer, Digest(number), True)
 
     def test_frames_on_loopback_keep_their_order(self) -> None:
-        done = subprocess.run([sys.executable, "-c", LOOPBACK], cwd=ROOT, capture_output=True, text=True, timeout=60)
+        done = subprocess.run(
+            [sys.executable, "-c", LOOPBACK], cwd=ROOT, capture_output=True, text=True, timeout=60
+        )
         self.assertEqual((done.stdout, done.stderr), ("all in order\n", ""))
 
     def test_one_dial_a_peer_and_hello_first(self) -> None:
@@ -139,14 +143,18 @@
                     goes.dataReceived(framed(Numbered(1, Digest(1))))  # what was under way on it still comes
                     self.assertEqual(self.heard, [(peer, Digest(1))])
                     self.reactor.advance(peers.LINGER_S + 1)
-                    self.assertEqual((goes.transport.disconnecting, stays.transport.disconnecting), (True, False))
+                    self.assertEqual(
+                        (goes.transport.disconnecting, stays.transport.disconnecting), (True, False)
+                    )
 
     def test_nothing_is_taken_after_what_came_later(self) -> None:
         one, other = self.inbound("127.0.0.1:2"), self.inbound("127.0.0.1:2")
         other.dataReceived(numbered(1, 2))
         one.dataReceived(numbered(2))
         self.assertEqual((self.heard, self.peers.counts["overtaken"]), ([("127.0.0.1:2", Digest(2))], 2))
-        anew = self.inbound("127.0.0.1:2", run=8)  # the peer was started anew: what its earlier self says is past
+        anew = self.inbound(
+            "127.0.0.1:2", run=8
+        )  # the peer was started anew: what its earlier self says is past
         anew.dataReceived(numbered(1))
         other.dataReceived(numbered(1, 3))
         self.assertEqual(self.heard[1:], [("127.0.0.1:2", Digest(1))])
@@ -176,7 +184,9 @@
     def test_a_peer_that_takes_no_connection_is_given_up_and_dialled_for_the_next(self) -> None:
         self.say("127.0.0.1:2", 0)
         self.reactor.tcpClients[-1][2].clientConnectionFailed(None, Failure(error.ConnectionRefusedError()))
-        self.assertEqual((self.peers.counts["not-dialled"], len(self.peers.lines["127.0.0.1:2"].waiting)), (1, 0))
+        self.assertEqual(
+            (self.peers.counts["not-dialled"], len(self.peers.lines["127.0.0.1:2"].waiting)), (1, 0)
+        )
         self.say("127.0.0.1:2", 1)
         self.assertEqual(len(self.reactor.tcpClients), 2)
 
@@ -198,8 +208,15 @@
         self.assertFalse(told.transport.disconnected or told.transport.aborting)
 
     def test_what_no_broker_would_send_costs_its_connection(self) -> None:
-        spoilt = [numbered(1), framed(Hello("nowhere")), b"\x00\x00\x00\x01\xc1", (MOST_FRAME + 1).to_bytes(4, "big"),
-                  framed({"type": "unheard of"}), framed({"type": "n", "number": "one"}), framed(Hello("127.0.0.1:1"))]
+        spoilt = [
+            numbered(1),
+            framed(Hello("nowhere")),
+            b"\x00\x00\x00\x01\xc1",
+            (MOST_FRAME + 1).to_bytes(4, "big"),
+            framed({"type": "unheard of"}),
+            framed({"type": "n", "number": "one"}),
+            framed(Hello("127.0.0.1:1")),
+        ]
         for each in spoilt:
             with self.subTest(each[:20]):
                 made = self.inbound("" if each in (spoilt[0], spoilt[1], spoilt[-1]) else "127.0.0.1:2")
@@ -212,8 +229,16 @@
     def test_a_newer_schema_is_understood(self) -> None:
         made = self.inbound()
         made.dataReceived(framed({"type": "hello", "address": "127.0.0.1:2", "version": 9, "more": [1]}))
-        made.dataReceived(framed({"type": "n", "number": 1, "more": 2, "message": {
-            "type": "ack", "number": 3, "of": "b", "news": [], "later": {"x": 1}}}))
+        made.dataReceived(
+            framed(
+                {
+                    "type": "n",
+                    "number": 1,
+                    "more": 2,
+                    "message": {"type": "ack", "number": 3, "of": "b", "news": [], "later": {"x": 1}},
+                }
+            )
+        )
         self.assertEqual(self.heard, [("127.0.0.1:2", Ack(3, "b"))])
 
     def test_datagrams_say_who_sent_them_and_are_bounded(self) -> None:
@@ -226,7 +251,9 @@
         self.peers._datagrams.transport = Wire()
         self.assertTrue(self.peers.send("127.0.0.1:2", Ping(4), False))
         self.assertEqual(Wire.sent[0][1], ("127.0.0.1", 2))
-        self.peers._datagrams.datagramReceived(msgspec.msgpack.encode(Envelope("127.0.0.1:2", Ping(5))), ("127.0.0.1", 9))
+        self.peers._datagrams.datagramReceived(
+            msgspec.msgpack.encode(Envelope("127.0.0.1:2", Ping(5))), ("127.0.0.1", 9)
+        )
         for spoilt in (b"\xc1", b"x" * 10_000, msgspec.msgpack.encode(Envelope("nowhere", Ping(5)))):
             self.peers._datagrams.datagramReceived(spoilt, ("127.0.0.1", 9))
         self.assertEqual((self.heard, self.peers.counts["malformed"]), ([("127.0.0.1:2", Ping(5))], 3))
--- a/tests/test_plugin.py
+++ b/tests/test_plugin.py
@@ -41,8 +41,12 @@
     def setUp(self) -> None:
         self.now = 20 * SECOND
         self.library, self.answers = Library(), list[Answer]()
-        self.plugin = Plugin(settings(classes=CLASSES, retry_after=True, max_retry_after_us=SECOND), 7, self.library,
-                             clock=lambda: self.now)
+        self.plugin = Plugin(
+            settings(classes=CLASSES, retry_after=True, max_retry_after_us=SECOND),
+            7,
+            self.library,
+            clock=lambda: self.now,
+        )
         self.plugin.servers(ServerList([entry(0), entry(1)], complete=True))
 
     def ask(self, session: str, **changes: Any) -> None:
@@ -145,9 +149,13 @@
         self.assertFalse(thread.is_alive())
 
     def test_no_wire_comes_with_it(self) -> None:
-        code = ("import sys, lotuspick.plugin; "
-                "print([m for m in sys.modules if m.split('.')[0] in ('twisted', 'ldap3', 'typer', 'http_sf')])")
-        self.assertEqual(subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout, "[]\n")
+        code = (
+            "import sys, lotuspick.plugin; "
+            "print([m for m in sys.modules if m.split('.')[0] in ('twisted', 'ldap3', 'typer', 'http_sf')])"
+        )
+        self.assertEqual(
+            subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout, "[]\n"
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -13,8 +13,15 @@
 
 def test_sizes_follow_popularity_times_length() -> None:
     made = controller()
-    made.handle(NOW, [request("a", NOW, length_us=20e6), request("b", NOW, length_us=100e6),
-                      request("c", NOW, length_us=200e6), request("d", NOW, length_us=80e6)])
+    made.handle(
+        NOW,
+        [
+            request("a", NOW, length_us=20e6),
+            request("b", NOW, length_us=100e6),
+            request("c", NOW, length_us=200e6),
+            request("d", NOW, length_us=80e6),
+        ],
+    )
     assert made._pool_sizes() == pytest.approx([20 / 400, 180 / 400, 200 / 400])
 
 
@@ -116,7 +123,8 @@
 @pytest.mark.parametrize("first", ["note", "start"])
 @pytest.mark.parametrize("load, rung", [(0.3, 2), (1.5, 0)])
 def test_the_first_note_settles_the_rung_whether_it_comes_before_the_start_or_after(
-        first: str, load: float, rung: int) -> None:
+    first: str, load: float, rung: int
+) -> None:
     """On sockets half of the first notes come ahead of the answer: passed over, they leave full links full."""
     made = controller(1, loads=None, change_cost_s=0.0)
     made.handle(NOW, [Note("none", "s0", "link", 0.5)])
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -20,7 +20,9 @@
 
 def test_the_page_of_crossings_names_tests_that_are_there() -> None:
     root = Path(__file__).parent
-    named = re.findall(r"`(test_\w+)((?:\.\w+)+)`", (root.parent / "docs" / "crossings.md").read_text(encoding="utf-8"))
+    named = re.findall(
+        r"`(test_\w+)((?:\.\w+)+)`", (root.parent / "docs" / "crossings.md").read_text(encoding="utf-8")
+    )
     assert len(named) > 60
     for file, path in named:
         text = (root / f"{file}.py").read_text(encoding="utf-8")
@@ -29,4 +31,4 @@
         for each in classes:
             start = text.index(f"\nclass {each}(", start)
         end = text.find("\nclass ", start + 1) if classes else -1
-        assert re.search(rf"\n {{0,4}}def {test}\(", text[start:end if end > 0 else None]), f"{file}{path}"
+        assert re.search(rf"\n {{0,4}}def {test}\(", text[start : end if end > 0 else None]), f"{file}{path}"
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -11,7 +11,16 @@
 from test_scenarios import Scenario
 
 from lotuspick.control import Controller
-from lotuspick.interface import ClassSettings, Ended, Fail, Send, SessionRequest, Started, TimerFired, ViewerGone
+from lotuspick.interface import (
+    ClassSettings,
+    Ended,
+    Fail,
+    Send,
+    SessionRequest,
+    Started,
+    TimerFired,
+    ViewerGone,
+)
 from lotuspick.routing.endings import Ending
 from lotuspick.routing.loop import AGAIN_US, Loop
 from lotuspick.routing.ports import Asked, EdgeAnswered, EdgeReleased, ViewerLost
@@ -27,7 +36,8 @@
 class Answers(Scenario):
     def test_late_answers_of_all_attempts_leave_nothing_standing(self) -> None:
         """Two servers time out one after the other, then both answer. e0 says something, so that it is not mute."""
-        self.play("""
+        self.play(
+            """
             v1 send SETUP s1 copies=2 left=2500
             e0 expect SETUP s1
             e0 send NOTE s99 topic=profile figure=2
@@ -42,14 +52,19 @@
             e1 send ANSWER s1 body=second
             e1 expect RELEASE s1 cause=31
             v1 expect NOTHING
-        """, e0="up", e1="draining")
+        """,
+            e0="up",
+            e1="draining",
+        )
 
 
 class Repeats(Scenario):
     def test_who_comes_again_under_the_same_name_while_an_attempt_may_run_has_it_run_once(self) -> None:
         for how in ("close", "close reset"):
             with self.subTest(how):
-                self.play(ASKED + f"""
+                self.play(
+                    ASKED
+                    + f"""
                     v1 {how}
                     e0 expect RELEASE s1 cause=16
                     v2 send SETUP s1 kind=exam left=8000 body=mine
@@ -57,10 +72,13 @@
                     e0 expect NOTHING
                     e0 send ANSWER s1 body=late
                     e0 expect RELEASE s1 cause=31
-                """)
+                """
+                )
 
     def test_one_that_provably_never_ran_may_come_again(self) -> None:
-        self.play(ASKED + """
+        self.play(
+            ASKED
+            + """
             v1 send TEARDOWN s1
             v1 expect 200 s1
             e0 expect RELEASE s1 cause=16
@@ -71,10 +89,13 @@
             e0 expect SETUP s1
             e0 send ANSWER s1 body=good
             v2 expect 200 s1 body=good
-        """)
+        """
+        )
 
     def test_one_that_came_on_another_connection_first_outlives_the_old_one(self) -> None:
-        self.play(ASKED + """
+        self.play(
+            ASKED
+            + """
             v2 send OPTIONS
             v2 expect 200
             b send STOP
@@ -84,7 +105,8 @@
             e0 expect NOTHING
             e0 send ANSWER s1 body=one
             v2 expect 200 s1 body=one
-        """)
+        """
+        )
 
 
 class Orders(unittest.TestCase):
@@ -115,13 +137,17 @@
         self.assertEqual([each.session for each in self.told if isinstance(each, ViewerGone)], ["s"])
         self.assertEqual((self.loop.table, self.loop.open_set_ups), ({}, 0))
 
-    def test_a_copy_goes_on_for_a_connection_that_ends_just_after_it_and_never_for_one_that_stays(self) -> None:
+    def test_a_copy_goes_on_for_a_connection_that_ends_just_after_it_and_never_for_one_that_stays(
+        self,
+    ) -> None:
         for gap_us, told in ((0, True), (AGAIN_US, True), (AGAIN_US + 1, False)):
             self.setUp()
             now = [1_000]
             self.loop.clock = lambda now=now: now[0]
             first, second = Mock(open=True), Mock(open=True)
-            self.play(Asked(request("s", cls="exam"), viewer=first), Asked(request("s", cls="exam"), viewer=second))
+            self.play(
+                Asked(request("s", cls="exam"), viewer=first), Asked(request("s", cls="exam"), viewer=second)
+            )
             now[0] += gap_us
             first.open = False
             self.play(ViewerLost(first), EdgeAnswered("e", "s", b"one"))
@@ -159,8 +185,12 @@
     def test_a_second_answer_and_a_word_of_another_server_change_nothing(self) -> None:
         viewer = Mock(open=True)
         self.play(Asked(request("s", cls="exam"), viewer=viewer))
-        self.play(EdgeReleased("other", "s", Ending.EDGE_ERROR, Ending.CUT), EdgeAnswered("e", "s", b"one"),
-                  EdgeAnswered("e", "s", b"two"), EdgeAnswered("other", "s", b"three"))
+        self.play(
+            EdgeReleased("other", "s", Ending.EDGE_ERROR, Ending.CUT),
+            EdgeAnswered("e", "s", b"one"),
+            EdgeAnswered("e", "s", b"two"),
+            EdgeAnswered("other", "s", b"three"),
+        )
         viewer.served.assert_called_once_with("s", b"one")
         self.edges.release.assert_not_called()
         self.assertFalse([each for each in self.told if isinstance(each, Ended)])
@@ -175,14 +205,24 @@
         now = 20 * SECOND
         sent = of(made.handle(now, [request("a", now, copies=1)]), Send)
         for again in range(1, 9):  # it has long been well again
-            told = [Ended("a", 0, "s0", "full")] if again == 1 else [TimerFired(token) for token in list(made.timers)]
+            told = (
+                [Ended("a", 0, "s0", "full")]
+                if again == 1
+                else [TimerFired(token) for token in list(made.timers)]
+            )
             sent += of(made.handle(now + again * SECOND // 2, told), Send)
         self.assertEqual([each.server for each in sent], ["s0"])
 
     def test_what_may_have_run_is_sent_again_for_no_class_but_the_safe_one(self) -> None:
         for effect, again in (("safe", 1), ("keyed", 0), ("paid", 0)):
-            made = Controller(settings(classes=[ClassSettings("clip", SECOND, effect=effect, group="zone",
-                                                              group_window_us=50_000)]), 1)
+            made = Controller(
+                settings(
+                    classes=[
+                        ClassSettings("clip", SECOND, effect=effect, group="zone", group_window_us=50_000)
+                    ]
+                ),
+                1,
+            )
             made.handle(0, [servers()])
             now = 20 * SECOND
             [first] = of(made.handle(now, [request("a", now)]), Send)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -31,8 +31,11 @@
 NOW = 20 * SECOND
 NEVER_RAN = {"full", "unreachable", "unsent"}
 OUTCOMES = ["served", "error", "full", "timeout", "unreachable", "lost", "cancelled", "unsent"]
-CLASSES = [ClassSettings("clip", SECOND, seats=3, floor=1), ClassSettings("exam", 1_500_000, effect="paid"),
-           ClassSettings("key", SECOND, effect="keyed")]
+CLASSES = [
+    ClassSettings("clip", SECOND, seats=3, floor=1),
+    ClassSettings("exam", 1_500_000, effect="paid"),
+    ClassSettings("key", SECOND, effect="keyed"),
+]
 
 
 class Ledger:
@@ -88,7 +91,8 @@
             floor = next(cls.floor for cls in CLASSES if cls.name == ask.cls)
             assert floor <= action.rung <= max(floor, ask.ceiling)
         seats: Counter[str] = Counter(
-            state["ask"].title for state in self.open.values() if state["ask"].cls == "clip" and state["out"])
+            state["ask"].title for state in self.open.values() if state["ask"].cls == "clip" and state["out"]
+        )
         assert max(seats.values(), default=0) <= 3
 
     def budget(self, state: dict) -> None:
@@ -123,13 +127,26 @@
         pending = [name for name, state in world.open.items() if state["out"] and not state["answered"]]
         if kind == "ask":
             name = f"r{number}"
-            ask = request(name, world.now, cls=data.draw(st.sampled_from(["clip", "exam", "key"])),
-                          title=data.draw(st.sampled_from("tu")), home=data.draw(st.integers(0, 3)),
-                          copies=data.draw(st.integers(1, 4)), ceiling=data.draw(st.integers(1, 3)),
-                          deadline_us=world.now + data.draw(st.sampled_from([50_000, SECOND, 4 * SECOND])),
-                          length_us=data.draw(st.sampled_from([None, 10e6, 100e6, 300e6])))
-            world.open[name] = {"ask": ask, "out": None, "ran": False, "answered": False, "gone": False,
-                                "attempts": 0, "last": ""}
+            ask = request(
+                name,
+                world.now,
+                cls=data.draw(st.sampled_from(["clip", "exam", "key"])),
+                title=data.draw(st.sampled_from("tu")),
+                home=data.draw(st.integers(0, 3)),
+                copies=data.draw(st.integers(1, 4)),
+                ceiling=data.draw(st.integers(1, 3)),
+                deadline_us=world.now + data.draw(st.sampled_from([50_000, SECOND, 4 * SECOND])),
+                length_us=data.draw(st.sampled_from([None, 10e6, 100e6, 300e6])),
+            )
+            world.open[name] = {
+                "ask": ask,
+                "out": None,
+                "ran": False,
+                "answered": False,
+                "gone": False,
+                "attempts": 0,
+                "last": "",
+            }
             world.taken.append(world.now)
             events.append(ask)
         elif kind == "start" and pending:
@@ -141,15 +158,27 @@
                 name = data.draw(st.sampled_from(out))
                 state = world.open[name]
                 outcome = data.draw(st.sampled_from(OUTCOMES))
-                events.append(Ended(name, state["attempts"] - 1, state["out"], outcome,
-                                    final=outcome == "served" or state["answered"] or state["gone"],
-                                    alive=data.draw(st.booleans())))
+                events.append(
+                    Ended(
+                        name,
+                        state["attempts"] - 1,
+                        state["out"],
+                        outcome,
+                        final=outcome == "served" or state["answered"] or state["gone"],
+                        alive=data.draw(st.booleans()),
+                    )
+                )
         elif kind == "gone" and pending:
             events.append(ViewerGone(data.draw(st.sampled_from(pending))))
         elif kind == "note":
-            events.append(Note("none", f"s{data.draw(st.integers(0, 3))}",
-                               data.draw(st.sampled_from(["share", "link", "rack"])),
-                               data.draw(st.floats(0, 2))))
+            events.append(
+                Note(
+                    "none",
+                    f"s{data.draw(st.integers(0, 3))}",
+                    data.draw(st.sampled_from(["share", "link", "rack"])),
+                    data.draw(st.floats(0, 2)),
+                )
+            )
         elif kind == "drain" and len(world.draining_at) < 2:
             position = data.draw(st.integers(0, 3))
             events.append(ServerList([entry(position, state="draining")]))
@@ -209,7 +238,9 @@
 
 @profile(derandomize=True, max_examples=8, deadline=None)
 @given(st.integers(2, 60), st.integers(0, 1000), st.sampled_from(["told", "failed", "failed, then told"]))
-def test_all_gateways_together_keep_the_budget_of_a_started_server(gateways: int, seed: int, how: str) -> None:
+def test_all_gateways_together_keep_the_budget_of_a_started_server(
+    gateways: int, seed: int, how: str
+) -> None:
     """Every gateway wants the server at once, again and again, through its whole warm-up."""
     sends: list[int] = []
     budget = 30 / (8 * SECOND) * 0.5 * 2.5 * 1_500_000  # for any window, at the capacity of its start
@@ -229,7 +260,7 @@
                 sends.append(now)
                 made.handle(now + 20_000, [Ended(f"r{step}", 0, "s0", "served", final=True)])
     most = max((sum(at - 1_500_000 < other <= at for other in sends) for at in sends), default=0)
-    assert most <= budget + 3 * budget ** 0.5  # slack for chance
+    assert most <= budget + 3 * budget**0.5  # slack for chance
 
 
 def test_failure_witnessed_is_a_start_expected() -> None:
@@ -245,8 +276,27 @@
 def test_sessions_at_the_start_take_seats() -> None:
     made = controller(count=1, classes=[ClassSettings("clip", SECOND, seats=1)])
     base = request("old", NOW)
-    made.handle(NOW, [SessionPlaying(**{name: getattr(base, name) for name in (
-        "session", "cls", "title", "home", "copies", "ceiling", "deadline_us", "length_us")}, server="s0")])
+    made.handle(
+        NOW,
+        [
+            SessionPlaying(
+                **{
+                    name: getattr(base, name)
+                    for name in (
+                        "session",
+                        "cls",
+                        "title",
+                        "home",
+                        "copies",
+                        "ceiling",
+                        "deadline_us",
+                        "length_us",
+                    )
+                },
+                server="s0",
+            )
+        ],
+    )
     assert place(made, NOW, "a", copies=1) is None
     made.handle(NOW + 1, [Ended("old", 0, "s0", "served", final=True)])
     assert made.sessions["a"].state == "sent"
@@ -273,11 +323,21 @@
     def run() -> list:
         made = controller()
         return [made.handle(NOW + n * 1000, [request(f"r{n}", NOW)]) for n in range(30)]
+
     assert run() == run()
 
 
-@pytest.mark.parametrize("change", [{"gateways": 0}, {"positions": None}, {"classes": []}, {"ladder_kb": (2.0, 1.0)},
-                                    {"zone": ""}, {"link_kb_per_weight": -1}])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"gateways": 0},
+        {"positions": None},
+        {"classes": []},
+        {"ladder_kb": (2.0, 1.0)},
+        {"zone": ""},
+        {"link_kb_per_weight": -1},
+    ],
+)
 def test_bad_settings_are_named(change: dict) -> None:
     with pytest.raises(ValueError, match=next(iter(change))):
         settings(**change)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -26,10 +26,13 @@
 
 class Sessions(Scenario):
     def test_a_session_from_set_up_to_its_end(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             e0 send RELEASE s1 cause=16
             v1 expect TEARDOWN s1 why=cause=16
-        """)
+        """
+        )
 
     def test_options_are_answered_when_ready(self) -> None:
         self.play("""
@@ -38,31 +41,40 @@
         """)
 
     def test_a_teardown_may_come_on_any_connection(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             v2 send TEARDOWN s1 cause=31
             v2 expect 200 s1 cseq=2
             e0 expect RELEASE s1 cause=31
             e0 send RELEASE s1 cause=31
             v1 expect NOTHING
-        """)
+        """
+        )
 
     def test_a_session_outlives_its_viewer_connection(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             v1 close
             e0 expect NOTHING
             e0 send RELEASE s1 cause=41
             e0 wait 0.3
             v2 expect TEARDOWN s1 why=cause=41
-        """)
+        """
+        )
 
     def test_a_session_outlives_its_edge_connection(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             e0 close
             e0 expect OPENED
             v1 expect NOTHING
             e0 send RELEASE s1 cause=16
             v1 expect TEARDOWN s1 why=cause=16
-        """)
+        """
+        )
 
     def test_what_plays_already_is_taken_over_without_an_answer(self) -> None:
         self.play("""
@@ -83,13 +95,16 @@
 
 class SetUps(Scenario):
     def test_closing_gives_up_open_set_ups_alone(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             v1 send SETUP s2 kind=exam
             e0 expect SETUP s2
             v1 close
             e0 expect RELEASE s2 cause=16
             e0 expect NOTHING
-        """)
+        """
+        )
 
     def test_an_answer_that_crosses_the_give_up_leaves_nothing_standing(self) -> None:
         self.play("""
@@ -105,16 +120,25 @@
         """)
 
     def test_paid_goes_on_only_after_proof_that_it_never_ran(self) -> None:
-        self.play("""
+        self.play(
+            """
             v1 send SETUP s1 kind=exam copies=2
             e1 expect OPENED
             e1 expect SETUP s1
             e1 send ANSWER s1 body=one
             v1 expect 200 s1 body=one
-        """, e0="refused", e1="up")
+        """,
+            e0="refused",
+            e1="up",
+        )
 
     def test_paid_that_may_have_run_fails(self) -> None:
-        for how in ("e0 send RELEASE s1 cause=47", "e0 send RELEASE s1 cause=41", "e0 close", "e0 close reset"):
+        for how in (
+            "e0 send RELEASE s1 cause=47",
+            "e0 send RELEASE s1 cause=41",
+            "e0 close",
+            "e0 close reset",
+        ):
             with self.subTest(how):
                 self.play(f"""
                     v1 send SETUP s1 kind=exam
@@ -166,11 +190,17 @@
 
     def test_a_copy_sent_by_a_stranger_takes_no_answer_from_whom_it_is_due(self) -> None:
         """It floods, and leaves; and whoever asked first hears the one answer."""
-        copy = (b"SETUP rtsp://media/aa00 RTSP/1.0\r\nCSeq: 1\r\nSession: 0000000000000001\r\nP-Kind: exam\r\n"
-                b"P-Time-Left: 9000\r\nX-Length: 20000.0\r\nP-Path: home:0;copies:1;top:2;viewer:00000000000000aa\r\n"
-                b"Content-Length: 4\r\n\r\nmine")
-        for then in ("v2 send OPTIONS\nv2 expect 200", "v2 close", "v2 close reset",
-                     f"v2 send RAW {copy * 300!r}\nv2 expect 400 reason=~twice\nv2 expect CLOSED"):
+        copy = (
+            b"SETUP rtsp://media/aa00 RTSP/1.0\r\nCSeq: 1\r\nSession: 0000000000000001\r\nP-Kind: exam\r\n"
+            b"P-Time-Left: 9000\r\nX-Length: 20000.0\r\nP-Path: home:0;copies:1;top:2;viewer:00000000000000aa\r\n"
+            b"Content-Length: 4\r\n\r\nmine"
+        )
+        for then in (
+            "v2 send OPTIONS\nv2 expect 200",
+            "v2 close",
+            "v2 close reset",
+            f"v2 send RAW {copy * 300!r}\nv2 expect 400 reason=~twice\nv2 expect CLOSED",
+        ):
             with self.subTest(then[:20]):
                 self.play(f"""
                     v1 send RAW {copy!r}
@@ -187,7 +217,6 @@
                     v1 expect TEARDOWN s1 why=cause=16
                 """)
 
-
     def test_a_stranger_does_not_get_the_answer_to_an_open_id(self) -> None:
         self.play("""
             v1 send SETUP s1 kind=exam body=mine
@@ -214,19 +243,27 @@
 
 class Silence(Scenario):
     def test_a_machine_that_takes_no_connection_is_unreachable(self) -> None:
-        self.play("""
+        self.play(
+            """
             v1 send SETUP s1 kind=exam left=2500
             v1 expect 453 s1
-        """, e0="silent")
+        """,
+            e0="silent",
+        )
 
     def test_a_process_that_dies_ends_its_sessions(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             e0 close all
             v1 expect TEARDOWN s1 why=cause=41
-        """)
+        """
+        )
 
     def test_a_reset_connection_does_not_end_what_stands_at_a_process_that_lives(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             e0 wait 1.1
             e0 close reset
             b expect LINE ending=reset
@@ -238,32 +275,44 @@
             v1 expect 200 s2 body=two
             e0 send RELEASE s1 cause=16
             v1 expect TEARDOWN s1 why=cause=16
-        """)
+        """
+        )
 
     def test_a_start_told_by_the_coordinator_ends_what_stood_before_it(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             c send e0 state=up started=later
             v1 expect TEARDOWN s1 why=cause=41
-        """)
+        """
+        )
 
     def test_a_machine_that_vanishes_ends_its_sessions(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             e0 close silent
             v1 expect TEARDOWN s1 why=cause=41
-        """)
+        """
+        )
 
     def test_a_set_up_that_times_out_has_its_machine_checked(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             e0 close silent
             v1 send SETUP s2 kind=exam left=1000
             e0 expect SETUP s2
             v1 expect 500 s2
             e0 expect RELEASE s2 cause=16
             v1 expect TEARDOWN s1 why=cause=41
-        """)
+        """
+        )
 
     def test_a_slow_edge_that_is_there_keeps_its_set_ups_and_sessions(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             e0 wait 1.2
             v1 send SETUP s2 kind=exam left=4000
             e0 expect SETUP s2
@@ -274,7 +323,8 @@
             e0 expect OPENED
             e0 send ANSWER s2 body=late
             v1 expect 200 s2 body=late
-        """)
+        """
+        )
 
     def test_an_address_that_went_to_another_is_not_dialled_for_the_old_id(self) -> None:
         self.play("""
@@ -289,7 +339,8 @@
         """)
 
     def test_an_id_that_moves_ends_there_what_is_open_there(self) -> None:
-        self.play("""
+        self.play(
+            """
             v1 send SETUP s1 kind=exam
             e0 expect OPENED
             e0 expect SETUP s1
@@ -303,15 +354,21 @@
             v1 expect 200 s1 body=old
             e1 send ANSWER s2 body=new
             v1 expect 200 s2 body=new
-        """, e0="up", e1="up")
+        """,
+            e0="up",
+            e1="up",
+        )
 
     def test_nothing_new_goes_to_a_server_that_drains(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             c send e0 state=draining
             c wait 0.5
             v1 send SETUP s2 left=800
             v1 expect 453 s2
-        """)
+        """
+        )
 
     def test_a_malformed_update_does_not_hold_up_the_feed(self) -> None:
         self.play("""
@@ -331,7 +388,6 @@
             v1 expect 200
         """)
 
-
     def test_a_coordinator_that_stops_mid_event_is_asked_again(self) -> None:
         self.play("""
             c close 40
@@ -344,7 +400,9 @@
 
 class Reloading(Scenario):
     def test_sighup_moves_to_the_new_coordinator_and_keeps_all_else(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             c close quiet
             c expect ASKED follow=1
             b send HUP coordinator=c2
@@ -354,10 +412,13 @@
             v1 expect 453 s2
             e0 send RELEASE s1 cause=16
             v1 expect TEARDOWN s1 why=cause=16
-        """)
+        """
+        )
 
     def test_a_bad_file_is_logged_and_the_old_one_kept(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             b send HUP text={"coordinator":
             c send e0 state=draining
             b wait 0.6
@@ -365,19 +426,26 @@
             v1 expect 453 s2
             e0 send RELEASE s1 cause=16
             v1 expect TEARDOWN s1 why=cause=16
-        """)
+        """
+        )
 
 
 class Bounds(Scenario):
-    SET_UP = (b"SETUP rtsp://media/aa00 RTSP/1.0\r\nCSeq: 1\r\nSession: 000000000000000%d\r\nP-Kind: exam\r\n"
-              b"P-Time-Left: 5000\r\nP-Path: home:0;copies:1;top:2\r\nContent-Length: 4\r\n\r\nof\r\n")
+    SET_UP = (
+        b"SETUP rtsp://media/aa00 RTSP/1.0\r\nCSeq: 1\r\nSession: 000000000000000%d\r\nP-Kind: exam\r\n"
+        b"P-Time-Left: 5000\r\nP-Path: home:0;copies:1;top:2\r\nContent-Length: 4\r\n\r\nof\r\n"
+    )
 
     def test_messages_may_come_in_pieces_and_together(self) -> None:
         both = self.SET_UP % 1 + self.SET_UP % 2
         cuts = (0, 3, 33, 95, len(both) // 2 - 1, len(both) // 2 + 1, len(both))
-        pieces = "\n".join(f"v1 send RAW {both[start:end]!r}\nv1 wait 0.02"
-                           for start, end in zip(cuts, cuts[1:], strict=False))
-        self.play(pieces + """
+        pieces = "\n".join(
+            f"v1 send RAW {both[start:end]!r}\nv1 wait 0.02"
+            for start, end in zip(cuts, cuts[1:], strict=False)
+        )
+        self.play(
+            pieces
+            + """
             e0 expect OPENED
             e0 expect SETUP s1
             e0 expect SETUP s2
@@ -385,12 +453,15 @@
             v1 expect 200 s2 body=two
             e0 send ANSWER s1 body=one
             v1 expect 200 s1 body=one
-        """)
+        """
+        )
 
     def test_a_crowd_of_viewers_that_ask_once_leaves_the_shared_connection_open(self) -> None:
         """The release of a session whose connection had to go comes where many sessions were set up."""
         crowd = "\n".join(f"v{each} send SETUP s{each} kind=clip at=e0" for each in range(10, 40))
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             v1 send SETUP s2 kind=exam
             e0 expect SETUP s2
             e0 send ANSWER s2 body=two
@@ -399,37 +470,53 @@
             e0 expect SETUP s3
             e0 send ANSWER s3 body=three
             v2 expect 200 s3
-        """ + crowd + """
+        """
+            + crowd
+            + """
             v40 wait 0.3
             v40 send OPTIONS
             v2 expect CLOSED
             e0 send RELEASE s3 cause=16
             v1 expect TEARDOWN s3 why=cause=16
-        """, limits={"sockets": 64})
+        """,
+            limits={"sockets": 64},
+        )
 
     def test_viewers_keep_to_half_of_the_descriptors(self) -> None:
-        crowd, more = ("\n".join(f"v{each} send OPTIONS\nv{each} expect 200" for each in numbers)
-                       for numbers in (range(10, 41), range(41, 50)))
-        self.play("""
+        crowd, more = (
+            "\n".join(f"v{each} send OPTIONS\nv{each} expect 200" for each in numbers)
+            for numbers in (range(10, 41), range(41, 50))
+        )
+        self.play(
+            """
             v1 send SETUP s1 kind=exam left=8000
             e0 expect OPENED
             e0 expect SETUP s1
-        """ + crowd + """
+        """
+            + crowd
+            + """
             v10 wait 0.3
-        """ + more + """
+        """
+            + more
+            + """
             v10 expect CLOSED
             e0 send ANSWER s1 body=one
             v1 expect 200 s1 body=one
             v49 send OPTIONS
             v49 expect 200
-        """, limits={"sockets": 64})
+        """,
+            limits={"sockets": 64},
+        )
 
     def test_a_viewer_whose_request_waits_unread_is_not_closed_for_a_newcomer(self) -> None:
         crowd = "\n".join(f"v{each} send OPTIONS\nv{each} expect 200" for each in range(10, 41))
-        self.play("""
+        self.play(
+            """
             v1 send OPTIONS
             v1 expect 200
-        """ + crowd + """
+        """
+            + crowd
+            + """
             b wait 0.3
             b send STOP
             v50 send OPTIONS
@@ -440,14 +527,21 @@
             e0 send ANSWER s1 body=one
             v1 expect 200 s1 body=one
             v10 expect CLOSED
-        """, limits={"sockets": 64})
+        """,
+            limits={"sockets": 64},
+        )
 
 
 class Malformed(Scenario):
     def test_bad_framing_costs_the_connection_and_no_more(self) -> None:
-        for raw in (b"NONSENSE\r\n", b"\xff\xfe\r\n", b"SETUP rtsp://media/a RTSP/1.0\r\nno colon\r\n",
-                    b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: 99999\r\n\r\n",
-                    b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: -1\r\n\r\n", b"x" * 20000):
+        for raw in (
+            b"NONSENSE\r\n",
+            b"\xff\xfe\r\n",
+            b"SETUP rtsp://media/a RTSP/1.0\r\nno colon\r\n",
+            b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: 99999\r\n\r\n",
+            b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: -1\r\n\r\n",
+            b"x" * 20000,
+        ):
             with self.subTest(raw[:30]):
                 self.play(f"""
                     v1 send RAW {raw!r}
@@ -476,8 +570,12 @@
         """)
 
     def test_who_says_nothing_or_half_a_message_is_closed_soon(self) -> None:
-        for raw in (b"", b"\r\n", b"SETUP rtsp://media/a RTSP/1.0\r\nCSeq: 1\r\n",
-                    b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: 9\r\n\r\nhalf"):
+        for raw in (
+            b"",
+            b"\r\n",
+            b"SETUP rtsp://media/a RTSP/1.0\r\nCSeq: 1\r\n",
+            b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: 9\r\n\r\nhalf",
+        ):
             with self.subTest(raw):
                 self.play(f"""
                     v1 send RAW {raw!r}
@@ -503,29 +601,37 @@
             v1 expect 400 reason=~P-Kind
         """)
 
-    WRONG = (b"SETUP rtsp://media/aa00 RTSP/1.0\r\nCSeq: 1\r\nSession: 0000000000000001\r\nP-Kind: none\r\n"
-             b"Content-Length: 0\r\n\r\n")
+    WRONG = (
+        b"SETUP rtsp://media/aa00 RTSP/1.0\r\nCSeq: 1\r\nSession: 0000000000000001\r\nP-Kind: none\r\n"
+        b"Content-Length: 0\r\n\r\n"
+    )
 
     def test_an_edge_that_breaks_the_framing_loses_its_connection(self) -> None:
         for raw in (b"\x00\x03\x09ab", b"\xff\xff", b"\x00\x0c\x09" + bytes(8) + b"\x82\x00\x09"):
             with self.subTest(raw):
-                self.play(PLAYING + f"""
+                self.play(
+                    PLAYING
+                    + f"""
                     e0 send RAW {raw!r}
                             e0 expect OPENED
                     v1 expect NOTHING
-                """)
+                """
+                )
 
 
 class Spoilt(Scenario):
     """Good answers that come spoilt, or with more than is theirs."""
 
     def test_a_second_copy_does_not_cut_what_stands(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             e0 send ANSWER s1 body=answer
             e0 expect NOTHING
             e0 send RELEASE s1 cause=16
             v1 expect TEARDOWN s1 why=cause=16
-        """)
+        """
+        )
 
     def test_an_answer_under_an_unknown_id_is_dropped(self) -> None:
         self.play("""
@@ -542,7 +648,9 @@
         heard = b"\x00\x09\x10" + bytes(8)  # a whole message, so that the connection is not mute
         for raw in (heard + b"\x00\x20\x09half", b"\x00\x0b\xee" + bytes(10), b"\xff\xff\x09"):
             with self.subTest(raw):
-                self.play(PLAYING + f"""
+                self.play(
+                    PLAYING
+                    + f"""
                     e0 wait 1.1
                     v1 send SETUP s2 kind=exam
                     e0 expect SETUP s2
@@ -556,15 +664,19 @@
                     e0 expect RELEASE s3 cause=31
                     e0 send RELEASE s1 cause=16
                     v1 expect TEARDOWN s1 why=cause=16
-                """)
+                """
+                )
 
     def test_what_is_safe_to_repeat_is_refused_not_failed_after_a_spoilt_answer(self) -> None:
-        self.play(PLAYING + f"""
+        self.play(
+            PLAYING
+            + f"""
             v1 send SETUP s3 kind=clip left=1500
             e0 expect SETUP s3
             e0 send RAW {b"fff"!r}
             v1 expect 453 s3
-        """)
+        """
+        )
 
     def test_a_mute_connection_is_replaced_before_its_set_ups_run_out_of_time(self) -> None:
         self.play("""
@@ -598,16 +710,21 @@
         """)
 
     def test_sessions_that_stand_are_released_on_both_sides_at_the_end(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             b send TERM
             v1 expect TEARDOWN s1 why=cause=41
             v1 expect CLOSED
             e0 expect RELEASE s1 cause=31
             b expect EXIT code=0
-        """)
+        """
+        )
 
     def test_what_stands_plays_on_for_as_long_as_a_planned_end_leaves(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             b send TERM
             b wait 1.5
             e0 expect NOTHING
@@ -615,7 +732,8 @@
             e0 send RELEASE s1 cause=16
             v1 expect TEARDOWN s1 why=cause=16
             b expect EXIT code=0
-        """)
+        """
+        )
 
     def test_sigterm_with_nothing_owed(self) -> None:
         self.play("""
@@ -633,7 +751,9 @@
     """
 
     def test_a_session_from_set_up_to_its_end(self) -> None:
-        self.play(self.SERVED + """
+        self.play(
+            self.SERVED
+            + """
             p1 send HINT s1 CMCD=bl%3D1200%2Cmtp%3D3200
             p1 expect 204
             n0 send OVER s1 how=finished
@@ -641,10 +761,14 @@
             p1 expect 410 body=finished
             p1 send HINT s1 CMCD=bl%3D1200
             p1 expect 410
-        """, hints=True, n0="up")
+        """,
+            hints=True,
+            n0="up",
+        )
 
     def test_both_fronts_share_edges_and_rules(self) -> None:
-        self.play("""
+        self.play(
+            """
             p1 send SETUP s1 kind=exam body=offer
             e0 expect OPENED
             e0 expect SETUP s1 class=exam
@@ -656,18 +780,26 @@
             e0 expect SETUP s2
             e0 send RELEASE s2 cause=47
             p1 expect 500
-        """, hints=True, e0="up")
+        """,
+            hints=True,
+            e0="up",
+        )
 
     def test_refusals_say_when_to_come_back(self) -> None:
-        self.play("""
+        self.play(
+            """
             p1 send SETUP s1 home=3 left=800
             p1 expect 503 retry=1
             p1 send READY
             p1 expect 200
-        """, hints=True, n0="up")
+        """,
+            hints=True,
+            n0="up",
+        )
 
     def test_bad_input_is_400_with_the_key(self) -> None:
-        self.play("""
+        self.play(
+            """
             p1 send SETUP s1 kind=nosuch
             p1 expect 400 body=~P-Kind
             p1 send HINT s1 CMCD=bl%3Dsoon
@@ -678,18 +810,26 @@
             p1 expect 400 body=~p-kind
             p1 send HINT s2 CMCD-Status=ü
             p1 expect 400 body=~cmcd-status
-        """, hints=True, n0="up")
+        """,
+            hints=True,
+            n0="up",
+        )
 
     def test_a_player_that_leaves_gives_its_set_up_up(self) -> None:
-        self.play("""
+        self.play(
+            """
             p1 send SETUP s1 kind=exam
             n0 expect SETUP s1
             p1 close
             n0 expect RELEASE s1
-        """, hints=True, n0="up")
+        """,
+            hints=True,
+            n0="up",
+        )
 
     def test_a_node_that_turns_away_or_fails(self) -> None:
-        self.play("""
+        self.play(
+            """
             p1 send SETUP s1 kind=exam left=1500
             n0 expect SETUP s1
             n0 send 503
@@ -698,7 +838,10 @@
             n0 expect SETUP s2
             n0 send 500
             p2 expect 500
-        """, hints=True, n0="up")
+        """,
+            hints=True,
+            n0="up",
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_seam.py
+++ b/tests/test_seam.py
@@ -10,14 +10,29 @@
 from hypothesis import strategies as st
 
 from lotuspick.control import Controller
-from lotuspick.interface import ANY, Bounds, ClassSettings, Ended, Fail, Refuse, Send, SetRung, Started, Together
+from lotuspick.interface import (
+    ANY,
+    Bounds,
+    ClassSettings,
+    Ended,
+    Fail,
+    Refuse,
+    Send,
+    SetRung,
+    Started,
+    Together,
+)
 
 NOW = 20 * SECOND
 NAMES = st.sampled_from(["s0", "s1", "s2", "s3"])
-BOUNDS = st.builds(Bounds, st.none() | st.frozensets(NAMES), st.integers(0, 9),
-                   st.dictionaries(NAMES, st.sampled_from([0.1, 0.25, 0.5])),
-                   st.sampled_from(["", "", "budget", "part"]), st.integers(0, 5)).map(
-                       lambda each: each if each.reason else Bounds(each.servers, each.top, each.costs))
+BOUNDS = st.builds(
+    Bounds,
+    st.none() | st.frozensets(NAMES),
+    st.integers(0, 9),
+    st.dictionaries(NAMES, st.sampled_from([0.1, 0.25, 0.5])),
+    st.sampled_from(["", "", "budget", "part"]),
+    st.integers(0, 5),
+).map(lambda each: each if each.reason else Bounds(each.servers, each.top, each.costs))
 
 
 class Scripted:
@@ -64,8 +79,9 @@
         made, guide = guided(Bounds(frozenset({"s1", "s2"})))
         sent = []
         for outcome in ("unreachable", "unreachable"):
-            actions = made.handle(NOW, [request("a", NOW)] if not sent else
-                                  [Ended("a", len(sent) - 1, sent[-1], outcome)])
+            actions = made.handle(
+                NOW, [request("a", NOW)] if not sent else [Ended("a", len(sent) - 1, sent[-1], outcome)]
+            )
             sent.append(of(actions, Send)[0].server)
         self.assertEqual(set(sent), {"s1", "s2"})
         self.assertEqual(of(made.handle(NOW, [Ended("a", 1, sent[-1], "unreachable")]), Send), [])
@@ -90,8 +106,9 @@
         self.assertFalse(made.sessions or made.held)
 
     def test_a_top_below_the_floor_counts_as_the_floor(self) -> None:
-        made, _ = guided(Bounds(top=0), classes=[ClassSettings("clip", SECOND, floor=2)],
-                          link_kb_per_weight=9_000.0)
+        made, _ = guided(
+            Bounds(top=0), classes=[ClassSettings("clip", SECOND, floor=2)], link_kb_per_weight=9_000.0
+        )
         self.assertEqual(of(made.handle(NOW, [request("a", NOW)]), SetRung)[0].rung, 2)
 
     def test_costs_order_servers_of_one_rung(self) -> None:
--- a/tests/test_seat_store.py
+++ b/tests/test_seat_store.py
@@ -52,7 +52,12 @@
         while not ended and point < 40:
             point += 1
             path = Path(self.folder.name, str(point))
-            done = subprocess.run([sys.executable, "-c", WRITER, str(path), str(point)], cwd=ROOT, capture_output=True, text=True)
+            done = subprocess.run(
+                [sys.executable, "-c", WRITER, str(path), str(point)],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+            )
             self.assertEqual(done.stderr, "")
             told = [line.split() for line in done.stdout.splitlines()]
             ended = told[-1:] == [["END"]]
@@ -127,7 +132,11 @@
 
         def fault(point: str) -> None:
             if point == "put":
-                raise lmdb.DiskError("no space left") if hasattr(lmdb, "DiskError") else OSError(28, "No space left on device")
+                raise (
+                    lmdb.DiskError("no space left")
+                    if hasattr(lmdb, "DiskError")
+                    else OSError(28, "No space left on device")
+                )
 
         store.env.fault = fault
         group = GroupCommit(store)
--- a/tests/test_seats_guide.py
+++ b/tests/test_seats_guide.py
@@ -65,12 +65,19 @@
         rules = Rules(frozenset({"exam"}))
         self.guide = SeatsGuide(rules, checker(), ledger, self.disk, lambda: self.wall)
         classes = [ClassSettings("clip", SECOND), ClassSettings("exam", SECOND, effect="paid")]
-        self.core = Controller(settings(classes=classes, retry_after=True, max_retry_after_us=9 * SECOND), 7, self.guide)
+        self.core = Controller(
+            settings(classes=classes, retry_after=True, max_retry_after_us=9 * SECOND), 7, self.guide
+        )
         self.core.handle(0, [servers()])
 
     def token(self, seat: str = "A", epoch: int = 0, ends: int = 600, viewer: str = "v1") -> str:
         issued = NOW - 10
-        return sign(Seat(seat, viewer, "law", "algebra-1", "exam", issued, issued, NOW + ends, epoch), "lotuspick", "k1", KEY)
+        return sign(
+            Seat(seat, viewer, "law", "algebra-1", "exam", issued, issued, NOW + ends, epoch),
+            "lotuspick",
+            "k1",
+            KEY,
+        )
 
     def tell(self, *events: Event, after_us: int = 10_000) -> list[Any]:
         self.now += after_us
@@ -128,7 +135,9 @@
         [sent] = of(self.ask("a"), Send)
         self.assertEqual(of(self.tell(Ended("a", 0, sent.server, "lost")), Fail), [Fail("a")])
         self.assertEqual(of(self.ask("b"), Send), [])
-        self.assertEqual([each.reason for each in of(self.tell(after_us=2 * SECOND), Refuse)], ["seat-in-doubt"])
+        self.assertEqual(
+            [each.reason for each in of(self.tell(after_us=2 * SECOND), Refuse)], ["seat-in-doubt"]
+        )
         self.ask("c")
         self.tell(Proof("a", sent.server, False))
         self.disk.work()
@@ -185,7 +194,11 @@
         self.assertEqual(self.guide.ledger.records["B"].epoch, 1)
 
     def test_a_session_handed_over_holds_its_seat(self) -> None:
-        self.tell(SessionPlaying("a", "exam", "algebra-1", 0, 1, 2, self.now, viewer="v1", server="s0", token=self.token()))
+        self.tell(
+            SessionPlaying(
+                "a", "exam", "algebra-1", 0, 1, 2, self.now, viewer="v1", server="s0", token=self.token()
+            )
+        )
         self.disk.work()
         self.assertTrue(self.disk.written["A"].counted)
         self.assertEqual([each.reason for each in of(self.ask("b"), Refuse)], ["seat-in-use"])
@@ -193,7 +206,10 @@
         self.assertEqual(len(of(self.ask("c"), Send)), 1)
 
     def test_a_thousand_tokens_for_one_seat_at_once(self) -> None:
-        asked = [request(f"q{at}", self.now, token=self.token(), viewer="v1", title="algebra-1", cls="exam") for at in range(1_000)]
+        asked = [
+            request(f"q{at}", self.now, token=self.token(), viewer="v1", title="algebra-1", cls="exam")
+            for at in range(1_000)
+        ]
         self.tell(*asked)
         self.disk.work()
         self.assertEqual(len(of(self.tell(GuideNews()), Send)), 1)
@@ -228,11 +244,20 @@
     def test_bounds_that_wait_give_way_to_those_that_turn_away(self) -> None:
         wait, away = Bounds(not_yet="seat-store", gap_us=5), Bounds(reason="budget", gap_us=1)
         self.assertEqual(wait.meet(away), away.meet(wait))
-        self.assertEqual((wait.meet(away).why, wait.meet(away).gap_us, wait.meet(Bounds()).admits("s0")), ("budget", 1, False))
+        self.assertEqual(
+            (wait.meet(away).why, wait.meet(away).gap_us, wait.meet(Bounds()).admits("s0")),
+            ("budget", 1, False),
+        )
 
 
 class Auditor(unittest.TestCase):
-    RAN = ["ran q1 A s-0 10.0", "over q1 A s-0 12.0", "ran q2 A s-1 13.0", "ran q3 B s-0 11.0", "ran q4 C s-0 11.0"]
+    RAN = [
+        "ran q1 A s-0 10.0",
+        "over q1 A s-0 12.0",
+        "ran q2 A s-1 13.0",
+        "ran q3 B s-0 11.0",
+        "ran q4 C s-0 11.0",
+    ]
 
     def test_a_sound_ledger_passes_and_every_planted_fault_is_found(self) -> None:
         from lotuspick.lab.seats.audit import audit
--- a/tests/test_seats_live.py
+++ b/tests/test_seats_live.py
@@ -53,13 +53,20 @@
         return made
 
     def seats(self, world: World, *words: str) -> str:
-        done = subprocess.run([sys.executable, "-m", "lotuspick", "seats", *words], cwd=ROOT, capture_output=True,
-                              text=True, env={"PATH": "/usr/bin:/bin", "COLUMNS": "200"})
+        done = subprocess.run(
+            [sys.executable, "-m", "lotuspick", "seats", *words],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            env={"PATH": "/usr/bin:/bin", "COLUMNS": "200"},
+        )
         self.assertEqual(done.returncode, 0, done.stderr)
         return done.stdout
 
     def test_a_seat_is_taken_renewed_and_not_taken_twice(self) -> None:
-        world = self.play(SERVED + """
+        world = self.play(
+            SERVED
+            + """
             v2 send SETUP s2 kind=exam token=A viewer=1
             v2 expect 453 s2 reason=seat-in-use gap=+
             v2 send SETUP s3 kind=exam token=A viewer=2
@@ -91,14 +98,16 @@
             e0 expect SETUP s8
             v1 send SETUP s10 kind=clip
             e0 expect SETUP s10
-        """)
+        """
+        )
         store = str(Path(world.folder.name, "store"))
         self.assertIn("counted: True", self.seats(world, "show", store, "A"))
         text = self.seats(world, "settle", f"n0={store}")
         self.assertIn("counted=2 in_doubt=0 at_once=0", text)
 
     def test_the_same_over_http_with_bearers(self) -> None:
-        self.play("""
+        self.play(
+            """
             p1 send SETUP s1 kind=exam token=A viewer=1
             n0 expect SETUP s1
             n0 send 200 body=answer
@@ -113,7 +122,10 @@
             p1 expect 403 body=token-other-request
             p1 send RENEW s5 token=A.1 viewer=1
             p1 expect 404
-        """, hints=True, n0="up")
+        """,
+            hints=True,
+            n0="up",
+        )
 
     def test_where_seats_are_off_the_headers_of_tokens_mean_nothing(self) -> None:
         made = World(hints=True, n0="up")
@@ -126,17 +138,22 @@
         """)
 
     def test_a_viewer_that_comes_again_takes_its_seat_along_and_the_old_session_ends(self) -> None:
-        self.play(SERVED + """
+        self.play(
+            SERVED
+            + """
             v2 send SETUP s2 kind=exam token=A viewer=1 again=1
             e0 expect SETUP s2
             e0 send ANSWER s2 body=answer
             v2 expect 200 s2
             e0 expect RELEASE s1
             v1 expect TEARDOWN s1 why=cause=31
-        """)
+        """
+        )
 
     def test_a_moved_session_whose_node_dies_keeps_its_seat(self) -> None:
-        self.play(SERVED + """
+        self.play(
+            SERVED
+            + """
             e0 send RELEASE s1 cause=31
             e0 wait 0.1
             v1 send SETUP s2 kind=exam token=A viewer=1
@@ -150,7 +167,10 @@
             e1 expect SETUP s3
             e1 send ANSWER s3 body=answer
             v1 expect 200 s3
-        """, e0="up", e1="up")
+        """,
+            e0="up",
+            e1="up",
+        )
 
     def test_a_retry_in_doubt_waits_for_proof_that_comes_or_is_answered_in_time(self) -> None:
         self.play("""
@@ -179,7 +199,9 @@
     def test_a_broker_killed_finds_its_seats_again_and_doubts_what_was_out(self) -> None:
         world = self.world()
         Path(world.folder.name, "seats.toml").open("a").write('proofs = "proofs"\n')
-        world.play(SERVED + """
+        world.play(
+            SERVED
+            + """
             v1 send SETUP s2 kind=exam token=B viewer=2
             e0 expect SETUP s2
             b send KILL
@@ -193,8 +215,11 @@
             v2 expect 200 s3
             v2 send SETUP s4 kind=exam token=B viewer=2
             v2 expect 453 s4 reason=seat-in-doubt
-        """)
-        Path(world.folder.name, "proofs").write_text(json.dumps({"session": number("s2"), "ran": False}) + "\n")
+        """
+        )
+        Path(world.folder.name, "proofs").write_text(
+            json.dumps({"session": number("s2"), "ran": False}) + "\n"
+        )
         world.play("""
             b send HUP
             b expect LINE settled=1
@@ -212,8 +237,12 @@
             store, failed = SeatStore(Path(world.folder.name, "store"), 1), False
             for at in range(10_000):  # whole batches, then one by one
                 try:
-                    store.write([Record(f"{opened}-{at}-{each}", State.RELEASED, "q", "v" * 100, 0, 1 << 39)
-                                 for each in range(1 if failed or opened else 100)])
+                    store.write(
+                        [
+                            Record(f"{opened}-{at}-{each}", State.RELEASED, "q", "v" * 100, 0, 1 << 39)
+                            for each in range(1 if failed or opened else 100)
+                        ]
+                    )
                 except StoreFault as fault:
                     self.assertIn("full", str(fault))
                     if failed or opened:
@@ -262,7 +291,8 @@
         """)
 
     def test_a_seat_that_lapses_ends_its_session(self) -> None:
-        self.play("""
+        self.play(
+            """
             v1 send SETUP s1 kind=exam token=A viewer=1 good=2
             e0 expect OPENED
             e0 expect SETUP s1
@@ -270,17 +300,28 @@
             v1 expect 200 s1
             e0 expect RELEASE s1
             v1 expect TEARDOWN s1 why=cause=31
-        """, "skew_s = 0\ngrace_s = 0")
+        """,
+            "skew_s = 0\ngrace_s = 0",
+        )
 
     def test_bad_files_are_refused_by_name(self) -> None:
         world = self.world()
         path = Path(world.folder.name, "seats.toml")
-        for text, says in (('classes = ["clip"]', "classes: 'clip' is not a paid class"), ("gap_s = -1", "gap_s must be"),
-                           ("seats = 1", "seats is not a key"), ("store_mib = 0", "store_mib must be")):
+        for text, says in (
+            ('classes = ["clip"]', "classes: 'clip' is not a paid class"),
+            ("gap_s = -1", "gap_s must be"),
+            ("seats = 1", "seats is not a key"),
+            ("store_mib = 0", "store_mib must be"),
+        ):
             before = path.read_text()
             path.write_text(before + text)
-            done = subprocess.run([*world.command[:3], "check-config", "--seats", str(path)], cwd=ROOT, capture_output=True, text=True,
-                                  env=world.environment)
+            done = subprocess.run(
+                [*world.command[:3], "check-config", "--seats", str(path)],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+                env=world.environment,
+            )
             path.write_text(before)
             self.assertEqual(done.returncode, 2)
             self.assertRegex(done.stderr, re.escape(str(path)) + ".*" + re.escape(says))
@@ -291,9 +332,15 @@
         with tempfile.TemporaryDirectory() as name:
             keys, now = KeyFolder(Path(name, "keys")), [1_800_000_000 * SECOND]
             kid = keys.make(now[0] // SECOND, 600).kid
-            told = SeatsConfig("site", Path(name, "keys"), Path(name, "store"), 16, Rules(frozenset({"exam"})), 0, 0)
-            seats = Entitlement(told, lambda then: plugin.change(lambda now: then()), lambda item: plugin.post(item),
-                                wall=lambda: now[0] / SECOND)
+            told = SeatsConfig(
+                "site", Path(name, "keys"), Path(name, "store"), 16, Rules(frozenset({"exam"})), 0, 0
+            )
+            seats = Entitlement(
+                told,
+                lambda then: plugin.change(lambda now: then()),
+                lambda item: plugin.post(item),
+                wall=lambda: now[0] / SECOND,
+            )
             self.addCleanup(seats.close)
             library, answers, heard = Library(), list[Answer](), list[str]()
             plugin = Plugin(settings(classes=CLASSES), 7, library, clock=lambda: now[0], guide=seats.guide)
@@ -301,7 +348,12 @@
 
             def token(epoch: int = 0) -> str:
                 at = now[0] // SECOND
-                return sign(Seat("A", "v1", "law", "algebra", "exam", at, at, at + 60, epoch), "site", kid, keys.private(kid))
+                return sign(
+                    Seat("A", "v1", "law", "algebra", "exam", at, at, at + 60, epoch),
+                    "site",
+                    kid,
+                    keys.private(kid),
+                )
 
             def until(done: Callable[[], bool]) -> None:
                 for _ in range(2_000):  # the commits are on a thread of their own
@@ -334,7 +386,16 @@
 class Faults(unittest.TestCase):
     def test_no_seat_counts_twice_and_no_good_viewer_is_refused_for_its_token(self) -> None:
         row, _ = seats_trial(SMALL, {}, 3)
-        for figure in ("double_counts", "phantom_counts", "missed_counts", "refused_good", "never_served", "replays_served"):
+        for figure in (
+            "double_counts",
+            "phantom_counts",
+            "missed_counts",
+            "refused_good",
+            "never_served",
+            "replays_served",
+        ):
             self.assertEqual(row[figure], 0, row)
-        self.assertGreater(min(row["kills"], row["set_ups"] - row["ran"], row["renewed"], row["replays"], row["failed"]), 0)
+        self.assertGreater(
+            min(row["kills"], row["set_ups"] - row["ran"], row["renewed"], row["replays"], row["failed"]), 0
+        )
         self.assertEqual((row["viewers"], row["clock_steps"]), (1_500, 3))
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -27,21 +27,62 @@
 
 SITES = {
     "campus": Settings(
-        zone="a", gateways=40, classes=[ClassSettings("clip", SECOND), ClassSettings("exam", SECOND, effect="paid", worth=3.0,
-                                                                                     floor=1)],
-        ladder_kb=(100.0, 200.0, 400.0), rung_worth=(0.3, 0.6, 1.0), places_by_kind={"box": 30}, positions=4,
-        link_kb_per_weight=4_000.0, tell_us=3 * SECOND, seen_after_us=500_000, max_attempts=3, retry_after=True,
-        max_retry_after_us=2 * SECOND, cold_us=8 * SECOND, cold_from=0.5, fall_multiple=2.5, tenant_rates={"law": 2.0}),
+        zone="a",
+        gateways=40,
+        classes=[
+            ClassSettings("clip", SECOND),
+            ClassSettings("exam", SECOND, effect="paid", worth=3.0, floor=1),
+        ],
+        ladder_kb=(100.0, 200.0, 400.0),
+        rung_worth=(0.3, 0.6, 1.0),
+        places_by_kind={"box": 30},
+        positions=4,
+        link_kb_per_weight=4_000.0,
+        tell_us=3 * SECOND,
+        seen_after_us=500_000,
+        max_attempts=3,
+        retry_after=True,
+        max_retry_after_us=2 * SECOND,
+        cold_us=8 * SECOND,
+        cold_from=0.5,
+        fall_multiple=2.5,
+        tenant_rates={"law": 2.0},
+    ),
     "halls": Settings(
-        zone="b", gateways=3, classes=[ClassSettings("seated", SECOND // 3, effect="paid", worth=4.0, seats=2)],
-        ladder_kb=(50.0, 300.0), rung_worth=(0.2, 1.0), places_by_kind={"box": 6}, positions=4, racks=2, uplink_kb=900.0,
-        link_kb_per_weight=700.0, tell_us=9 * SECOND, seen_after_us=1_300_000, max_attempts=2, cross_zone_price=0.2,
-        budget_free=1.0, budget_ratio=0.1, budget_window_us=5 * SECOND),
+        zone="b",
+        gateways=3,
+        classes=[ClassSettings("seated", SECOND // 3, effect="paid", worth=4.0, seats=2)],
+        ladder_kb=(50.0, 300.0),
+        rung_worth=(0.2, 1.0),
+        places_by_kind={"box": 6},
+        positions=4,
+        racks=2,
+        uplink_kb=900.0,
+        link_kb_per_weight=700.0,
+        tell_us=9 * SECOND,
+        seen_after_us=1_300_000,
+        max_attempts=2,
+        cross_zone_price=0.2,
+        budget_free=1.0,
+        budget_ratio=0.1,
+        budget_window_us=5 * SECOND,
+    ),
     "tours": Settings(
-        zone="a", gateways=200, classes=[ClassSettings("clip", 2 * SECOND, worth=9.0, scale=1.5), ClassSettings("walk", SECOND),
-                                         ClassSettings("talk", SECOND, effect="keyed", group="zone")],
-        ladder_kb=(80.0, 160.0, 320.0, 640.0), rung_worth=(0.1, 0.4, 0.8, 1.0), places_by_kind={"box": 60}, positions=4,
-        link_kb_per_weight=9_000.0, max_attempts=4, reports=True),
+        zone="a",
+        gateways=200,
+        classes=[
+            ClassSettings("clip", 2 * SECOND, worth=9.0, scale=1.5),
+            ClassSettings("walk", SECOND),
+            ClassSettings("talk", SECOND, effect="keyed", group="zone"),
+        ],
+        ladder_kb=(80.0, 160.0, 320.0, 640.0),
+        rung_worth=(0.1, 0.4, 0.8, 1.0),
+        places_by_kind={"box": 60},
+        positions=4,
+        link_kb_per_weight=9_000.0,
+        max_attempts=4,
+        reports=True,
+    ),
 }
 
 
@@ -63,11 +104,21 @@
                 attempt = self.made.sessions[session].attempt
                 end = self.draw.choice(["full", "error", "lost", "", "", "", ""])
                 took = self.draw.randrange(20_000, 200_000)
-                self.waiting.append((self.now + took, Ended(session, attempt, server, end) if end else
-                                     Started(session, attempt, server, took)))
+                self.waiting.append(
+                    (
+                        self.now + took,
+                        Ended(session, attempt, server, end)
+                        if end
+                        else Started(session, attempt, server, took),
+                    )
+                )
                 if not end:
-                    self.waiting.append((self.now + took + self.draw.randrange(SECOND, 20 * SECOND),
-                                         Ended(session, attempt, server, "served", True)))
+                    self.waiting.append(
+                        (
+                            self.now + took + self.draw.randrange(SECOND, 20 * SECOND),
+                            Ended(session, attempt, server, "served", True),
+                        )
+                    )
             elif type(action).__name__ == "SetTimer":
                 self.waiting.append((self.now + action.delay_us, TimerFired(action.token)))
 
@@ -79,13 +130,28 @@
         if self.draw.random() < 0.5:
             self.done += 1
             cls = self.draw.choice(list(self.settings.classes)).name
-            events.append(SessionRequest(f"r{self.done}", cls, f"t{self.draw.randrange(3)}", self.draw.randrange(4),
-                                         self.draw.randrange(1, 5), len(self.settings.ladder_kb) - 1,
-                                         self.now + self.draw.randrange(SECOND // 2, 5 * SECOND), 30e6,
-                                         tenant=self.draw.choice(["law", "arts", ""])))
+            events.append(
+                SessionRequest(
+                    f"r{self.done}",
+                    cls,
+                    f"t{self.draw.randrange(3)}",
+                    self.draw.randrange(4),
+                    self.draw.randrange(1, 5),
+                    len(self.settings.ladder_kb) - 1,
+                    self.now + self.draw.randrange(SECOND // 2, 5 * SECOND),
+                    30e6,
+                    tenant=self.draw.choice(["law", "arts", ""]),
+                )
+            )
         if self.draw.random() < 0.3:
-            events.append(Note("none", f"s{self.draw.randrange(4)}", self.draw.choice(["link", "share"]),
-                               self.draw.choice([0.2, 0.7, 0.99, 1.2])))
+            events.append(
+                Note(
+                    "none",
+                    f"s{self.draw.randrange(4)}",
+                    self.draw.choice(["link", "share"]),
+                    self.draw.choice([0.2, 0.7, 0.99, 1.2]),
+                )
+            )
         if self.draw.random() < 0.02:
             events.append(TenantRates({"law": self.draw.random() * 3}))
         self._tell(events)
@@ -125,10 +191,14 @@
         made = World()
         self.addCleanup(made.end)
         told = json.loads(json.dumps(made.told))
-        told["settings"]["Categories"] = [{"Name": "seated", "Repeat": "side_effect", "TargetUs": 300_000, "Worth": 4.0}]
+        told["settings"]["Categories"] = [
+            {"Name": "seated", "Repeat": "side_effect", "TargetUs": 300_000, "Worth": 4.0}
+        ]
         told["settings"]["FamilyInfo"].update(LevelKb=[50.0], WorthByRung=[1.0], Cells=1, ClassFloor=[0])
         text = json.dumps(told, separators=(",", ":"))
-        made.play(PLAYING + f"""
+        made.play(
+            PLAYING
+            + f"""
             v1 send SETUP s2 kind=exam
             e0 expect SETUP s2 class=exam rung=1
             b send HUP text={text}
@@ -143,18 +213,22 @@
             v1 expect 400 s4 reason=~P-Kind
             e0 send RELEASE s1 cause=16
             v1 expect TEARDOWN s1 why=cause=16
-        """)
+        """
+        )
 
     def test_a_file_that_cannot_be_read_in_any_way_costs_nothing(self) -> None:
         deep = "[" * 100_000
-        self.play(PLAYING + f"""
+        self.play(
+            PLAYING
+            + f"""
             b send HUP text={deep}
             b expect LINE at=ERROR msg="configuration
             v1 send SETUP s2 kind=exam
             e0 expect SETUP s2
             e0 send ANSWER s2 body=two
             v1 expect 200 s2 body=two
-        """)
+        """
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -28,41 +28,56 @@
     """SIGTERM, and the request is ..."""
 
     def test_unread_in_the_kernel(self) -> None:
-        self.play("""
+        self.play(
+            """
             v1 send OPTIONS
             v1 expect 200
             b send STOP
             b send TERM
             v1 send SETUP s1 kind=exam left=3000
             b send CONT
-        """ + SERVED)
+        """
+            + SERVED
+        )
 
     def test_on_a_connection_that_was_not_taken_yet(self) -> None:
-        self.play("""
+        self.play(
+            """
             b send STOP
             v1 send SETUP s1 kind=exam left=3000
             b send TERM
             b send CONT
-        """ + SERVED)
+        """
+            + SERVED
+        )
 
     def test_half_read(self) -> None:
-        self.play(f"""
+        self.play(
+            f"""
             v1 send RAW {SETUP[:90]!r}
             v2 send OPTIONS
             v2 expect 200
             b send TERM
             b expect LINE msg=stopping
             v1 send RAW {SETUP[90:]!r}
-        """ + SERVED)
+        """
+            + SERVED
+        )
 
     def test_queued_for_a_dial(self) -> None:
-        self.play("""
+        self.play(
+            """
             v1 send SETUP s1 kind=exam left=9000
             b expect LINE why="to
             b send TERM
             b expect LINE msg=stopping
             e0 send OPEN
-        """ + SERVED, rules=LATE, debug=True, e0="silent")
+        """
+            + SERVED,
+            rules=LATE,
+            debug=True,
+            e0="silent",
+        )
 
     def test_sent_and_unanswered_when_it_comes_twice(self) -> None:
         self.play("""
@@ -158,7 +173,6 @@
             b expect EXIT code=0
         """)
 
-
     def test_a_reload_asked_for_before_the_program_is_loaded_does_not_end_it(self) -> None:
         """As the platform starts it: SIGHUP comes while the interpreter itself is still about to read the program."""
         world = World(command=["/bin/sh", "-c", RUN.replace("exec ", "kill -HUP $$; exec ")])
@@ -171,7 +185,9 @@
 
 class Reloads(Scenario):
     def test_requests_at_each_stage_outlive_a_reload(self) -> None:
-        self.play(PLAYING + """
+        self.play(
+            PLAYING
+            + """
             v1 send SETUP s2 kind=exam left=9000
             e0 expect SETUP s2
             b send STOP
@@ -190,7 +206,8 @@
             c2 expect FOLLOWED follow=2
             v1 send SETUP s4 left=700
             v1 expect 453 s4
-        """)
+        """
+        )
 
     def test_sighup_and_then_sigterm_in_one_look(self) -> None:
         self.play("""
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -54,7 +54,12 @@
             case Asked(what="promise"):
                 self.asked += 1
                 number = self.asked
-                return [Tell(f"before {number}"), Write("k", b"%d" % number), Send("other", number), Tell(f"after {number}")]
+                return [
+                    Tell(f"before {number}"),
+                    Write("k", b"%d" % number),
+                    Send("other", number),
+                    Tell(f"after {number}"),
+                ]
             case Asked(what="two"):
                 return [Write("a", b"1"), Tell("one"), Write("b", b"2"), Tell("two")]
             case Fired():
@@ -80,8 +85,14 @@
         self.disk: dict[str, bytes] = {}
         self.waiting: list[tuple[Sequence[tuple[str, bytes]], Callable[[str], None]]] = []
         self.full = False
-        self.driver = Driver(self.clock, self.machine, self._keep, self.out.append, self.out.append,
-                             lambda: int(self.clock.seconds() * SECOND))
+        self.driver = Driver(
+            self.clock,
+            self.machine,
+            self._keep,
+            self.out.append,
+            self.out.append,
+            lambda: int(self.clock.seconds() * SECOND),
+        )
         self.driver.start({}, 1)
 
     def _keep(self, records: Sequence[tuple[str, bytes]], done: Callable[[str], None]) -> None:
@@ -116,7 +127,11 @@
 
     @property
     def out(self) -> list[Any]:  # type: ignore[override]
-        sent = [Send("other", event.message) for _, event in self.world.hosts["other"].machine.seen if isinstance(event, Heard)]
+        sent = [
+            Send("other", event.message)
+            for _, event in self.world.hosts["other"].machine.seen
+            if isinstance(event, Heard)
+        ]
         return [Tell(news) for _, host, news in self.world.told if host == "h"] + sent
 
     def ask(self, what: str) -> None:
@@ -130,7 +145,10 @@
 
 
 def words(out: Sequence[Any]) -> list[Any]:
-    return [each.message if isinstance(each, Send) else each.news if isinstance(each, Tell) else each for each in out]
+    return [
+        each.message if isinstance(each, Send) else each.news if isinstance(each, Tell) else each
+        for each in out
+    ]
 
 
 class Contract(unittest.TestCase):
@@ -146,10 +164,14 @@
                 self.assertEqual(words(made.out), ["before 1"])
                 made.pass_s(0.5)
                 self.assertEqual(made.lasting(), {"k": b"2"})
-                self.assertEqual([each for each in words(made.out) if isinstance(each, str)],
-                                 ["before 1", "after 1", "before 2", "after 2"])
+                self.assertEqual(
+                    [each for each in words(made.out) if isinstance(each, str)],
+                    ["before 1", "after 1", "before 2", "after 2"],
+                )
                 self.assertEqual([each for each in words(made.out) if isinstance(each, int)], [1, 2])
-                self.assertEqual([event.write for _, event in made.machine.seen if isinstance(event, Lasting)], [1, 2])
+                self.assertEqual(
+                    [event.write for _, event in made.machine.seen if isinstance(event, Lasting)], [1, 2]
+                )
 
     def test_of_one_name_one_timer_is_set_and_it_is_never_early(self) -> None:
         for made in self.each():
@@ -182,7 +204,9 @@
         made.ask("promise")
         made.full = False
         made.pass_s(3)
-        self.assertEqual([each for each in words(made.out) if each != "fired"], ["one", "two", "before 1", 1, "after 1"])
+        self.assertEqual(
+            [each for each in words(made.out) if each != "fired"], ["one", "two", "before 1", 1, "after 1"]
+        )
         self.assertEqual((made.lasting(), made.driver.fault), ({"a": b"1", "b": b"2", "k": b"1"}, ""))
 
     def test_a_driver_that_is_closed_does_nothing_more(self) -> None:
@@ -221,7 +245,12 @@
         while not ended:
             point += 1
             path = self.path / str(point)
-            done = subprocess.run([sys.executable, "-c", WRITER, str(path), str(point)], cwd=ROOT, capture_output=True, text=True)
+            done = subprocess.run(
+                [sys.executable, "-c", WRITER, str(path), str(point)],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+            )
             told = done.stdout.split()
             ended = told[-1:] == ["END"]
             store = StepStore(path)
@@ -230,7 +259,9 @@
             self.assertEqual(found.get("a"), found.get("b"))
             lasting = [int(each) for each in told if each != "END"]
             self.assertGreaterEqual(int(found.get("a", b"-1")), max(lasting, default=-1))
-        self.assertEqual(point, 17)  # begin, two puts and committed of four writes, and the run that is not killed
+        self.assertEqual(
+            point, 17
+        )  # begin, two puts and committed of four writes, and the run that is not killed
 
     def test_what_is_spoilt_foreign_or_in_use_is_named(self) -> None:
         store = StepStore(self.path / "s")
--- a/tests/test_turnover.py
+++ b/tests/test_turnover.py
@@ -59,10 +59,20 @@
         self.draw, self.now_us, self.wake_us = random.Random(7), 20 * SECOND, 0
         self.sent: list[tuple[str, str]] = []
         edges = Mock(set_up=self.set_up, give_up=lambda edge, session: False)
-        self.core = Controller(settings(positions=NODES, budget_free=1.0, budget_ratio=0.1,
-                                        budget_window_us=10 * SECOND, retry_after=True,
-                                        max_retry_after_us=2 * SECOND), 7)
-        self.loop = Loop(self.core, edges, lambda: self.now_us, self.wake, 10_000, frozenset({"clip", "exam"}))
+        self.core = Controller(
+            settings(
+                positions=NODES,
+                budget_free=1.0,
+                budget_ratio=0.1,
+                budget_window_us=10 * SECOND,
+                retry_after=True,
+                max_retry_after_us=2 * SECOND,
+            ),
+            7,
+        )
+        self.loop = Loop(
+            self.core, edges, lambda: self.now_us, self.wake, 10_000, frozenset({"clip", "exam"})
+        )
         self.nodes = {at: 0 for at in range(NODES)}
         self.made = 0
         self.loop.post(Roster(ServerList([self.node(at) for at in self.nodes], complete=True)))
@@ -91,10 +101,22 @@
         loop.post(ViewerCame(viewer))
         for _ in range(12):
             self.made += 1
-            loop.post(Asked(request(
-                f"q{self.made}", self.now_us, cls=draw.choice(["clip", "exam"]), title=f"title{self.made}",
-                viewer=f"v{self.made}", home=draw.randrange(NODES), copies=3, tenant=f"t{draw.randrange(3)}",
-                length_us=draw.choice([None, 30e6, 100e6])), viewer=viewer))
+            loop.post(
+                Asked(
+                    request(
+                        f"q{self.made}",
+                        self.now_us,
+                        cls=draw.choice(["clip", "exam"]),
+                        title=f"title{self.made}",
+                        viewer=f"v{self.made}",
+                        home=draw.randrange(NODES),
+                        copies=3,
+                        tenant=f"t{draw.randrange(3)}",
+                        length_us=draw.choice([None, 30e6, 100e6]),
+                    ),
+                    viewer=viewer,
+                )
+            )
         self.until(self.now_us + SECOND // 10)
         sent, self.sent = self.sent, []
         for edge, session in sent:
@@ -137,7 +159,10 @@
             kept.append(entries(week.loop))
         self.assertGreater(week.made, 12_000)
         self.assertFalse(week.loop.table)
-        more = {path: (kept[0].get(path, 0), count) for path, count in kept[-1].items()
-                if count > 1.6 * kept[0].get(path, 0) + 2 * NODES}
+        more = {
+            path: (kept[0].get(path, 0), count)
+            for path, count in kept[-1].items()
+            if count > 1.6 * kept[0].get(path, 0) + 2 * NODES
+        }
         self.assertEqual(more, {})
         self.assertLessEqual(len(week.core.servers), 2 * NODES)
