--- a/benchmarks/core.py
+++ b/benchmarks/core.py
@@ -57,21 +57,21 @@
     core = Controller(
         Settings(
             zone="a",
-            gateways=1,
+            brokers=1,
             classes=[ClassSettings("clip", 1_500_000), ClassSettings("exam", 800_000, "paid", 2.0, 1.4, 1)],
-            ladder_kb=LADDER,
-            rung_worth=[0.25, 0.5, 0.8, 1.0],
-            places_by_kind={"box": 10_000.0},
+            ladder_kb_per_s=LADDER,
+            rung_values=[0.25, 0.5, 0.8, 1.0],
+            stream_limit_by_kind={"box": 10_000.0},
             positions=nodes,
             link_kb_per_weight=kb,
-            weights="nominal",
-            tell_us=2 * SECOND,
-            seen_after_us=500_000,
+            weight_kind="nominal",
+            notification_interval_us=2 * SECOND,
+            notification_delay_us=500_000,
             max_attempts=3,
             dial_timeout_us=250_000,
-            retry_after=True,
+            retry_after_allowed=True,
             max_retry_after_us=2 * SECOND,
-            reports=True,
+            inline_load_reports=True,
         ),
         seed,
     )
@@ -113,7 +113,8 @@
         for action in actions:
             if isinstance(action, StartTimer):
                 heapq.heappush(
-                    due, (now + max(action.delay_us, 1), len(due) + draw.random(), TimerFired(action.token))
+                    due,
+                    (now + max(action.delay_us, 1), len(due) + draw.random(), TimerFired(action.timer_id)),
                 )
             elif isinstance(action, ForwardAttempt):
                 name, server = action.session, action.server
--- a/lotuspick/cells/constraints.py
+++ b/lotuspick/cells/constraints.py
@@ -72,7 +72,7 @@
     """Keeps tenants to their cells. ``positions`` is the settings' ring of positions. Every limit is one of this
     broker: it sees its own part of the traffic alone, and ratios hold for parts as for the whole."""
 
-    wait_us = 0
+    max_wait_us = 0
 
     def __init__(self, plan: Plan, positions: int) -> None:
         self.plan, self.atlas = plan, CellDirectory(plan, positions)
@@ -106,7 +106,7 @@
 
     # ---- the question -------------------------------------------------------------------------------------
 
-    def bounds(self, now: int, request: SessionRequest) -> PlacementConstraint:
+    def constraint_for(self, now: int, request: SessionRequest) -> PlacementConstraint:
         """The bounds of a request, or of a further attempt of it, at clock time ``now`` (us)."""
         if now - self.looked_us >= LOOK_US or now < self.looked_us:
             self._look(now)
@@ -198,7 +198,7 @@
             contended = full or state.turned.read(now) >= TURNED
             if contended != state.contended:
                 state.contended = contended
-                self.lines.say(
+                self.lines.record(
                     now,
                     "cell contended" if contended else "cell at ease",
                     name,
@@ -214,7 +214,7 @@
         account.denied.add(now)
         self.refused[reason] = self.refused.get(reason, 0) + 1
         gap_us = account.gap_us(excess, point(held.ask.session, str(now)))
-        self.lines.say(
+        self.lines.record(
             now,
             "turned away",
             f"{reason} {account.name}",
@@ -224,14 +224,14 @@
             excess=round(excess, 2),
             gap_ms=gap_us // 1_000,
         )
-        return PlacementConstraint(reason=reason, gap_us=gap_us)
+        return PlacementConstraint(reason=reason, retry_after_us=gap_us)
 
     # ---- servers ------------------------------------------------------------------------------------------
 
     def _where(self, held: Held, now: int) -> PlacementConstraint:
         """The servers of the session's cell, and those of others where the cell is too small for its lesson."""
         ask, state, cell = held.ask, self.states[held.home], self.plan.cells[held.home]
-        room = self.atlas.room(held.home, ask.tenant, ask.home, ask.copies)
+        room = self.atlas.room(held.home, ask.tenant, ask.home_position, ask.copies)
         if not room.short:
             return PlacementConstraint(servers=room.own)
         further = {"widen": room.elsewhere, "spill": room.spilled}.get(cell.small)
@@ -245,7 +245,7 @@
 
     # ---- what became of it --------------------------------------------------------------------------------
 
-    def told(self, now: int, fact: Observation) -> None:
+    def on_event(self, now: int, fact: Observation) -> None:
         """Hear what the core was told and did. Facts on sessions that are not known here are passed over."""
         hear = self.hears.get(type(fact))
         if hear is not None:
@@ -268,7 +268,7 @@
                     if small[name]
                     else "cell empty"
                 )
-                self.lines.say(
+                self.lines.record(
                     now,
                     what,
                     name,
@@ -310,8 +310,8 @@
             self._closed(held)
 
     def _ended(self, event: AttemptEnded, now: int) -> None:
-        if event.report.get("link") is not None:
-            self._load(event.server, event.report["link"], now)
+        if event.load_report.get("link") is not None:
+            self._load(event.server, event.load_report["link"], now)
         held = self.held.get(event.session)
         if held is None or event.server != held.node:
             return
@@ -417,7 +417,7 @@
                 held.home = self.atlas.home(ask.tenant, ask.title, ask.viewer, False, now)
                 if not held.stands:
                     self.states[held.home].account.open += 1
-        self.lines.say(
+        self.lines.record(
             now, "plan taken", str(plan.epoch), epoch=plan.epoch, cells=len(plan.cells), moves=len(plan.moves)
         )
         self._sizes(now)
@@ -435,7 +435,7 @@
             was, self.stages[key] = self.stages.get(key), at
             moved = moved or at in MOVING or was in MOVING
             home = self.atlas.base(move.tenant, "")[0]
-            self.lines.say(
+            self.lines.record(
                 now,
                 "move",
                 f"{move.tenant} {move.epoch} {at.value}",
@@ -459,9 +459,9 @@
 
     # ---- for operators ------------------------------------------------------------------------------------
 
-    def news(self) -> list[OperatorEvent]:
+    def take_events(self) -> list[OperatorEvent]:
         """The lines since the last call; each matter has one in ten seconds at most."""
-        return self.lines.take()
+        return self.lines.take_events()
 
     def summary(self) -> OperatorEvent:
         """What happened since the last summary, and what stands."""
--- a/lotuspick/core/actions.py
+++ b/lotuspick/core/actions.py
@@ -45,7 +45,7 @@
 class StartTimer:
     """Ask for a :class:`TimerFired` in ``delay_us``."""
 
-    token: int
+    timer_id: int
     delay_us: int
 
 
--- a/lotuspick/core/events.py
+++ b/lotuspick/core/events.py
@@ -48,11 +48,11 @@
     """A viewer asks for a session; it must be started, refused or failed before ``deadline_us``."""
 
     session: str
-    cls: str
+    session_class: str
     title: str
-    home: int
+    home_position: int
     copies: int
-    ceiling: int
+    highest_rung: int
     """Highest rung that the viewer can use."""
     deadline_us: int
     length_us: float | None = None
@@ -66,12 +66,14 @@
     """What entitles its viewer to it, as sent; the decisions never look at it, a guide may."""
 
     def __post_init__(self) -> None:
-        require_not_negative(f"session {self.session}", home=self.home, ceiling=self.ceiling)
+        require_not_negative(
+            f"session {self.session}", home_position=self.home_position, highest_rung=self.highest_rung
+        )
         require_positive(f"session {self.session}", copies=self.copies)
 
-    def holders(self, positions: int) -> list[int]:
+    def holder_positions(self, positions: int) -> list[int]:
         """Positions at which its title lies, of a ring of so many."""
-        return [(self.home + at) % positions for at in range(min(self.copies, positions))]
+        return [(self.home_position + at) % positions for at in range(min(self.copies, positions))]
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +90,7 @@
     session: str
     attempt: int
     server: str
-    took_us: int = 0
+    duration_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,12 +104,12 @@
     outcome: str
     final: bool = False
     """Nothing more is owed for the session."""
-    took_us: int = 0
-    report: Mapping[str, float] = field(default_factory=dict)
+    duration_us: int = 0
+    load_report: Mapping[str, float] = field(default_factory=dict)
     """Load report: any of ``streams``, ``link``, ``rack``."""
-    alive: bool = False
+    server_alive: bool = False
     """The attempt or its connection failed alone: nothing shows that the server's process is gone."""
-    left: bool = False
+    viewer_left: bool = False
     """Its viewer ended a session that stood."""
 
 
@@ -142,12 +144,14 @@
     """Seconds that it has buffered."""
     starved: bool = False
     """It has stalled for want of data since its last hint."""
-    throughput_kb: float | None = None
+    throughput_kb_per_s: float | None = None
     """What it measured, kB a second."""
 
     def __post_init__(self) -> None:
         require_not_negative(
-            f"hint on {self.session}", buffer_s=self.buffer_s or 0.0, throughput_kb=self.throughput_kb or 0.0
+            f"hint on {self.session}",
+            buffer_s=self.buffer_s or 0.0,
+            throughput_kb_per_s=self.throughput_kb_per_s or 0.0,
         )
 
 
@@ -156,10 +160,10 @@
     """What a server estimates that a further session would get from its link, kB a second."""
 
     server: str
-    throughput_kb: float
+    throughput_kb_per_s: float
 
     def __post_init__(self) -> None:
-        require_not_negative(f"hint of {self.server}", throughput_kb=self.throughput_kb)
+        require_not_negative(f"hint of {self.server}", throughput_kb_per_s=self.throughput_kb_per_s)
 
 
 @dataclass(frozen=True, slots=True)
@@ -186,7 +190,7 @@
 
     session: str
     server: str
-    ran: bool
+    executed: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -198,7 +202,7 @@
 class TimerFired:
     """A timer set with :class:`StartTimer` is due."""
 
-    token: int
+    timer_id: int
 
 
 Event = (
--- a/lotuspick/core/hint_trust.py
+++ b/lotuspick/core/hint_trust.py
@@ -37,7 +37,7 @@
     def add_player_hint(self, hint: PlayerHint, session: SessionState, server: ServerState, now: int) -> None:
         """Take what a player says of the server that its session plays at, at clock time ``now`` (us)."""
         viewer = session.ask.viewer or hint.session
-        throughput_kb = hint.throughput_kb
+        throughput_kb = hint.throughput_kb_per_s
         if hint.starved or throughput_kb is not None and throughput_kb < session.kb * SHORT_FROM:
             # Trust in reports of a shortage is earned by such reports alone: to be well costs nothing to say.
             server.claims.pop("well " + viewer, None)
@@ -49,7 +49,7 @@
 
     def add_server_hint(self, hint: ServerHint, server: ServerState, now: int) -> None:
         """Take what a server says of its own link, at clock time ``now`` (us)."""
-        load = max(0.0, 1 - hint.throughput_kb / server.line.kb)
+        load = max(0.0, 1 - hint.throughput_kb_per_s / server.line.kb)
         high = load + HINT_SLACK if load < 1 - HINT_SLACK else math.inf  # nothing left: any overload
         server.claims["server " + hint.server] = LoadClaim(load - HINT_SLACK, high, now)
 
--- a/lotuspick/core/operator_events.py
+++ b/lotuspick/core/operator_events.py
@@ -15,7 +15,7 @@
 class OperatorEvent:
     """One line for operators: what happened, and its figures."""
 
-    what: str
+    name: str
     fields: Mapping[str, str | int | float]
 
 
@@ -28,7 +28,7 @@
             tuple[str, str], tuple[int, int]
         ] = {}  # last line on a matter, and those left out since
 
-    def say(self, now: int, what: str, matter: str, **fields: str | int | float) -> None:
+    def record(self, now: int, what: str, matter: str, **fields: str | int | float) -> None:
         """One line at clock time ``now`` (us), unless the matter had one of late."""
         key = (what, matter)
         last, left_out = self.said.get(key, (-SAY_US, 0))
@@ -41,7 +41,7 @@
         self.said[key] = (now, 0)
         self.waiting.append(OperatorEvent(what, fields | ({"left_out": left_out} if left_out else {})))
 
-    def take(self) -> list[OperatorEvent]:
+    def take_events(self) -> list[OperatorEvent]:
         """The lines since the last call."""
         lines = list(self.waiting)
         self.waiting.clear()
--- a/lotuspick/entitlement/constraints.py
+++ b/lotuspick/entitlement/constraints.py
@@ -88,7 +88,7 @@
     are judged; all else goes by the clock of the decisions, which is never set, so that no step of the system's clock
     ends a session."""
 
-    wait_us = WAIT_US
+    max_wait_us = WAIT_US
 
     def __init__(
         self, rules: Rules, checker: Checker, ledger: Ledger, journal: Journal, wall: Callable[[], float]
@@ -114,9 +114,9 @@
 
     # ---- the question -------------------------------------------------------------------------------------
 
-    def bounds(self, now: int, request: SessionRequest) -> PlacementConstraint:
+    def constraint_for(self, now: int, request: SessionRequest) -> PlacementConstraint:
         """Whether the session may be sent, at clock time ``now`` (us)."""
-        if request.cls not in self.rules.classes or not (request.token or self.rules.required):
+        if request.session_class not in self.rules.classes or not (request.token or self.rules.required):
             return UNCONSTRAINED
         held = self.held.get(request.session)
         if held is None:
@@ -132,7 +132,7 @@
         return (
             UNCONSTRAINED
             if held.lasts
-            else PlacementConstraint(not_yet=DISK, gap_us=int(self.rules.gap_s * SECOND))
+            else PlacementConstraint(pending_reason=DISK, retry_after_us=int(self.rules.gap_s * SECOND))
         )
 
     def _check(self, request: SessionRequest, token: str, grace_s: float = 0.0) -> Seat:
@@ -144,7 +144,7 @@
         for name, told, asked in (
             ("sub", seat.viewer, request.viewer),
             ("les", seat.lesson, request.title),
-            ("cls", seat.cls, request.cls),
+            ("cls", seat.cls, request.session_class),
             ("ten", seat.tenant, request.tenant or seat.tenant),
         ):
             if told != asked:
@@ -166,7 +166,7 @@
         if verdict in REASONS:
             return self._turn_away(now, ask, REASONS[verdict], seat.seat)
         if verdict is Verdict.WAIT:
-            return PlacementConstraint(not_yet=IN_DOUBT, gap_us=int(self.rules.gap_s * SECOND))
+            return PlacementConstraint(pending_reason=IN_DOUBT, retry_after_us=int(self.rules.gap_s * SECOND))
         held.reserved, held.lasts = True, record is None
         if record is None:
             return UNCONSTRAINED
@@ -174,20 +174,20 @@
         if before is not None and before.state is State.COUNTED:
             held.supersedes = before.session
         self.journal.submit(record, lambda fault: self._lasting(held, fault))
-        return PlacementConstraint(not_yet=DISK, gap_us=int(self.rules.gap_s * SECOND))
+        return PlacementConstraint(pending_reason=DISK, retry_after_us=int(self.rules.gap_s * SECOND))
 
     def _lasting(self, held: Held, fault: str) -> None:
         held.lasts, held.fault = not fault, fault
 
     def _turn_away(self, now: int, ask: SessionRequest, reason: str, detail: str) -> PlacementConstraint:
-        self.lines.say(
+        self.lines.record(
             now, "turned away", reason, reason=reason, session=ask.session, tenant=ask.tenant, detail=detail
         )
-        return PlacementConstraint(reason=reason, gap_us=int(self.rules.gap_s * SECOND))
+        return PlacementConstraint(reason=reason, retry_after_us=int(self.rules.gap_s * SECOND))
 
     # ---- what became of it --------------------------------------------------------------------------------
 
-    def told(self, now: int, fact: Observation) -> None:
+    def on_event(self, now: int, fact: Observation) -> None:
         """Hear what the core was told and did. Facts on sessions that are not known here are passed over."""
         hear = self.hears.get(type(fact))
         if hear is not None:
@@ -204,7 +204,7 @@
             self.unwritten[record.seat] = record
 
     def _playing(self, ask: SessionPlaying, now: int) -> None:
-        if ask.session in self.held or ask.cls not in self.rules.classes:
+        if ask.session in self.held or ask.session_class not in self.rules.classes:
             return
         try:
             seat = self._check(ask, ask.token)
@@ -241,7 +241,7 @@
             return
         if held.stands:
             del self.held[event.session]
-            vacant = not (event.left or event.outcome == "served")
+            vacant = not (event.viewer_left or event.outcome == "served")
             self._write(self.ledger.over(self.wall(), event.session, vacant))
             return
         held.out = False
@@ -281,7 +281,7 @@
         held = self.held.get(event.session)
         if held is not None and held.answered and not held.stands:
             del self.held[event.session]
-        self.prove(now, event.session, event.ran)
+        self.prove(now, event.session, event.executed)
 
     def prove(self, now: int, session: str, ran: bool) -> bool:
         """Settle a doubt by proof, be it from a node's late word or from an operator. Whether there was one."""
@@ -369,9 +369,9 @@
 
     # ---- for operators ------------------------------------------------------------------------------------
 
-    def news(self) -> list[OperatorEvent]:
+    def take_events(self) -> list[OperatorEvent]:
         """The lines since the last call."""
-        return self.lines.take()
+        return self.lines.take_events()
 
     def summary(self) -> OperatorEvent:
         """What happened since the last summary, and what stands."""
--- a/lotuspick/lab/emulator/world.py
+++ b/lotuspick/lab/emulator/world.py
@@ -148,8 +148,8 @@
         if here != self.life or self.coming.pop(ask.session, None) is None:
             return  # the node, or the broker that asked, died meanwhile
         world = self.world
-        world.books.ran(world.now, ask.session, ask.cls, ask.rung, self.name, viewer.intent.tenant)
-        scale = 1.4 if ask.cls == PAID else 0.7
+        world.books.ran(world.now, ask.session, ask.session_class, ask.rung, self.name, viewer.intent.tenant)
+        scale = 1.4 if ask.session_class == PAID else 0.7
         self.streams[ask.session] = Stream(ask.session, broker, life, viewer, ask.rung, viewer.rate, scale)
         load = self.load
         broker.hear(life, AttemptAnswered(self.name, ask.session, b""), HOP_US)
@@ -241,7 +241,7 @@
             self.world.later(delay_us, lambda: self.hear(life, item))
         elif self.up and life == self.life:
             if isinstance(item, EndpointListChanged):
-                for entry in item.news.servers:
+                for entry in item.update.servers:
                     if entry.state == "draining":
                         self.drained.setdefault(entry.server, self.world.now)
                     else:
@@ -267,7 +267,7 @@
 
     # ---- the loop's edges ---------------------------------------------------------------------------------
 
-    def set_up(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
+    def start_attempt(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
         world, node = self.world, self.world.by_name[edge]
         viewer = self.loop.table[ask.session].viewer
         assert isinstance(viewer, Try)
@@ -280,7 +280,7 @@
         world.later(HOP_US, lambda: node.set_up(self, life, ask, viewer))
         return None
 
-    def give_up(self, edge: str, session: str) -> bool:
+    def cancel_attempt(self, edge: str, session: str) -> bool:
         return False
 
     def release(self, edge: str, session: str, ending: TerminationReason) -> None:
@@ -295,14 +295,14 @@
 
         self.world.later(HOP_US, change)
 
-    def watch(self, edge: str) -> None:
+    def keep_connected(self, edge: str) -> None:
         """Connections are not part of this model."""
 
 
 class Try:
     """One request of a viewer, and the session that may come of it."""
 
-    open, heard_us = True, 0
+    is_open, last_message_us = True, 0
 
     def __init__(
         self,
@@ -363,7 +363,7 @@
         if self.player is not None:
             self.player.served(self)
 
-    def refused(self, session: str, gap_ms: int, why: str = "") -> None:
+    def rejected(self, session: str, gap_ms: int, why: str = "") -> None:
         self.world.books.outcome(self.world.now, session, self.intent.cls, "refused")
         self.again(gap_ms * 1_000)
 
@@ -377,7 +377,7 @@
         else:
             self.broken(self.cause or f"dropped: {ending.value}")
 
-    def abandon(self, why: str) -> None:
+    def close_with_error(self, why: str) -> None:
         self.world.books.rule(self.world.now, f"{self.session} abandoned: {why}")
 
     def broken(self, cause: str) -> None:
@@ -688,7 +688,7 @@
         """Fetch the lines for operators."""
         for broker in self.brokers:
             if broker.guide is not None and broker.up:
-                self.said.extend(broker.guide.news())
+                self.said.extend(broker.guide.take_events())
         self.later(SECOND, self.listen)
 
 
--- a/lotuspick/lab/experiment/cost.py
+++ b/lotuspick/lab/experiment/cost.py
@@ -64,14 +64,14 @@
     def act(self, now: int, action: Action) -> None:
         match action:
             case StartTimer():
-                self.after(now + max(1, action.delay_us), TimerFired(action.token))
+                self.after(now + max(1, action.delay_us), TimerFired(action.timer_id))
             case ForwardAttempt():
                 name, server = action.session, action.server
                 self.after(now + 80_000, SessionStarted(name, 0, server, 80_000))
                 self.after(now + 90_000, SessionNotification(name, server, "link", 0.5))
                 self.after(
                     now + self.lengths[name],
-                    AttemptEnded(name, 0, server, "served", True, report={"link": 0.5}),
+                    AttemptEnded(name, 0, server, "served", True, load_report={"link": 0.5}),
                 )
             case RejectSession() | FailSession():
                 self.answers += 1
@@ -132,7 +132,7 @@
             side.step(now, events)
     without, within = (side.seconds / (sessions - warm) * 1e6 for side in sides)
     guide = CellConstraints(parse(text), nodes)
-    guide.told(0, roster)
+    guide.on_event(0, roster)
     peaks = [0.0] * FIFTHS
     names = int(arm.get("names", 1_000_000))
     for at in range(names):
@@ -142,8 +142,8 @@
         ask = SessionRequest(
             f"n{at}", "repaso", f"l{at}", at % nodes, 4, 3, now + 4 * SECOND, 30e6, f"w{at}", f"made-up-{at}"
         )
-        guide.bounds(now + at * 100, ask)
-        guide.told(now + at * 100, RejectSession(f"n{at}"))
+        guide.constraint_for(now + at * 100, ask)
+        guide.on_event(now + at * 100, RejectSession(f"n{at}"))
     return {
         "without_us": without,
         "within_us": within,
--- a/lotuspick/lab/net/world.py
+++ b/lotuspick/lab/net/world.py
@@ -181,17 +181,17 @@
                 if timer not in host.timers or host.timers[timer] > self.clock(host):
                     return  # another has taken its place, or had
                 del host.timers[timer]
-            case WriteCommitted(write=write):
+            case WriteCommitted(write_number=write):
                 while host.unsure and host.unsure[0][0] <= write:
                     _, key, record = host.unsure.pop(0)
                     host.disk[key] = record
-                self._carry_out(host, host.outbox.lasts(write))
+                self._carry_out(host, host.outbox.commit(write))
             case _:
                 pass
         self._step(host, event)
 
     def _step(self, host: Host, event: Event) -> None:
-        self._carry_out(host, host.outbox.put(host.machine.step(self.clock(host), event)))
+        self._carry_out(host, host.outbox.add(host.machine.step(self.clock(host), event)))
 
     def _carry_out(self, host: Host, effects: Sequence[Effect]) -> None:
         for effect in effects:
@@ -211,20 +211,20 @@
                         host.process,
                         TimerFired(timer),
                     )
-                case Notify(news=news):
+                case Notify(notification=news):
                     self.told.append((self.now_us, host.name, news))
 
     def _send(self, host: Host, effect: SendMessage) -> None:
         self.sent += 1
         pair, weather = (host.name, effect.peer), self.weather
-        lost = not effect.sure and self.random.random() < weather.loss
+        lost = not effect.reliable and self.random.random() < weather.loss
         if effect.peer not in self.hosts or pair in self.cuts or lost:
             self.lost += 1
             return
         at_us = self.now_us + self.random.randint(*weather.delay_us)
-        if effect.sure:
+        if effect.reliable:
             at_us = self._last[pair] = max(at_us, self._last.get(pair, 0) + 1)
-        for _ in range(1 if effect.sure or self.random.random() >= weather.doubled else 2):
+        for _ in range(1 if effect.reliable or self.random.random() >= weather.doubled else 2):
             self._later(at_us, effect.peer, 0, MessageReceived(host.name, effect.message))
             at_us += self.random.randint(*weather.delay_us)
 
--- a/lotuspick/membership/constraints.py
+++ b/lotuspick/membership/constraints.py
@@ -18,7 +18,7 @@
     are never asked about. ``clock`` is the one by which the standing is followed (us): one that goes on while the
     machine sleeps, so that whoever was away knows it before it promises anything."""
 
-    wait_us = 0
+    max_wait_us = 0
 
     def __init__(
         self, standings: QuorumTracker, paid: frozenset[str], clock: Callable[[], int], gap_us: int = GAP_US
@@ -26,13 +26,13 @@
         self.standings, self.paid, self.clock, self.gap_us = standings, paid, clock, gap_us
         self.turned_away: Counter[QuorumState] = Counter()
         self._away = {
-            standing: PlacementConstraint(reason=f"fleet-{standing.name.lower()}", gap_us=gap_us)
+            standing: PlacementConstraint(reason=f"fleet-{standing.name.lower()}", retry_after_us=gap_us)
             for standing in QuorumState
         }
 
-    def bounds(self, now: int, request: SessionRequest) -> PlacementConstraint:
+    def constraint_for(self, now: int, request: SessionRequest) -> PlacementConstraint:
         """See :class:`lotuspick.core.constraints.ConstraintProvider`."""
-        if request.cls not in self.paid:
+        if request.session_class not in self.paid:
             return UNCONSTRAINED
         at = self.clock()
         if self.standings.may(PAID, at):
@@ -41,5 +41,5 @@
         self.turned_away[standing] += 1
         return self._away[standing]
 
-    def told(self, now: int, fact: Observation) -> None:
+    def on_event(self, now: int, fact: Observation) -> None:
         """Nothing that happens to a session changes a standing."""
--- a/lotuspick/membership/members.py
+++ b/lotuspick/membership/members.py
@@ -133,11 +133,11 @@
             case ProcessStarted():
                 self._random = random.Random(event.seed)
                 self._life = int(event.records.get(LIFE, b"0")) + 1
-            case CommandReceived(what=Begin() as begin):
+            case CommandReceived(command=Begin() as begin):
                 self._begin(begin)
-            case CommandReceived(what=Leave()):
+            case CommandReceived(command=Leave()):
                 self._leave()
-            case CommandReceived(what=Drain(name=name)) if self._takes_part:
+            case CommandReceived(command=Drain(name=name)) if self._takes_part:
                 self._drain(name)
             case TimerFired(timer=timer) if timer == PERIOD and self._takes_part:
                 self._period()
--- a/lotuspick/plugin.py
+++ b/lotuspick/plugin.py
@@ -113,11 +113,11 @@
     def __init__(self, calls: Calls) -> None:
         self.calls = calls
 
-    def set_up(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
+    def start_attempt(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
         self.calls.start(edge, ask)
         return None
 
-    def give_up(self, edge: str, session: str) -> bool:
+    def cancel_attempt(self, edge: str, session: str) -> bool:
         return self.calls.cancel(edge, session)
 
     def release(self, edge: str, session: str, ending: TerminationReason) -> None:
@@ -126,14 +126,14 @@
     def set_rung(self, edge: str, session: str, rung: int) -> None:
         self.calls.set_rung(edge, session, rung)
 
-    def watch(self, edge: str) -> None:
+    def keep_connected(self, edge: str) -> None:
         pass
 
 
 class _Asker:
     """The loop's view of whoever asked: never gone, since it is in this process."""
 
-    open, heard_us = True, 0
+    is_open, last_message_us = True, 0
 
     def __init__(self, tell: Callable[[Answer], None]) -> None:
         self.tell = tell
@@ -141,13 +141,13 @@
     def served(self, session: str, description: bytes) -> None:
         self.tell(Served(session, description))
 
-    def refused(self, session: str, gap_ms: int, why: str = "") -> None:
+    def rejected(self, session: str, gap_ms: int, why: str = "") -> None:
         self.tell(Refused(session, gap_ms, why))
 
     def failed(self, session: str, why: str = "") -> None:
         self.tell(Failed(session))
 
-    def abandon(self, why: str) -> None:
+    def close_with_error(self, why: str) -> None:
         """Only a connection can be closed."""
 
     def released(self, session: str, ending: TerminationReason) -> None:
--- a/lotuspick/program/components.py
+++ b/lotuspick/program/components.py
@@ -99,7 +99,7 @@
         self.guide: CellConstraints = CellConstraints(broker.config.cells, broker.config.settings.positions)
 
     def tick(self, now: int, summary: bool) -> list[OperatorEvent]:
-        return [*self.guide.news(), *([self.guide.summary()] if summary else [])]
+        return [*self.guide.take_events(), *([self.guide.summary()] if summary else [])]
 
     def reload(self, new: Config, taken: Config) -> Config:
         return replace(taken, cells=new.cells) if self._take(new.cells) else taken
--- a/lotuspick/program/configuration.py
+++ b/lotuspick/program/configuration.py
@@ -284,7 +284,7 @@
             return None
         from lotuspick.entitlement.constraints import Rules
 
-        paid = {each.name for each in settings.classes if each.effect == "paid"}
+        paid = {each.name for each in settings.classes if each.retry_safety == "paid"}
         classes = _get(told, "classes", list, sorted(paid))
         for name in classes:
             if name not in paid:
--- a/lotuspick/program/daemon.py
+++ b/lotuspick/program/daemon.py
@@ -40,7 +40,7 @@
     def __init__(self, config: Config, reactor: Reactor, again: Callable[[], Config]) -> None:
         self.config, self.reactor, self.again = config, reactor, again
         classes = frozenset(each.name for each in config.settings.classes)
-        self.terms = Terms(classes, config.settings.positions, len(config.settings.ladder_kb))
+        self.terms = Terms(classes, config.settings.positions, len(config.settings.ladder_kb_per_s))
         self.parts = build_components(self)
         self.renew = next((part.renew for part in self.parts if part.renew is not None), None)
         guides = [part.guide for part in self.parts if part.guide is not None]
@@ -171,7 +171,7 @@
         """Have the parts do what is due, and log what they have to say, with a summary now and then."""
         for part in self.parts:
             for news in part.tick(now_us(), told % SUMMARY_S == 0):
-                log.info(news.what, extra=dict(news.fields))
+                log.info(news.name, extra=dict(news.fields))
         self.reactor.callLater(1, self._tick, told + 1)
 
     def post(self, item: Any) -> None:
--- a/lotuspick/program/entitlement.py
+++ b/lotuspick/program/entitlement.py
@@ -92,7 +92,7 @@
         self.guide.sweep(now)
         for session, why in self.guide.dismissed():
             self.post(SessionRevoked(session, ENDINGS[why]))
-        return self.guide.news() + ([self.guide.summary()] if summary else [])
+        return self.guide.take_events() + ([self.guide.summary()] if summary else [])
 
     def reload(self, now: int) -> None:
         """Read keys, revocations and proofs again. What cannot be read is logged, and what was known stands."""
--- a/lotuspick/program/membership.py
+++ b/lotuspick/program/membership.py
@@ -48,7 +48,7 @@
         self.driver = Driver(
             broker.reactor, self.members, self.commits.submit_all, self._send, self._told, fired=self._follow
         )
-        paid = frozenset(each.name for each in broker.config.settings.classes if each.effect == "paid")
+        paid = frozenset(each.name for each in broker.config.settings.classes if each.retry_safety == "paid")
         self.fleet = MembershipConstraints(self.standings, paid, awake_us, told.gap_us)
         self.guide: ConstraintProvider | None = self.fleet
         self.seed = draw.getrandbits(62)
@@ -73,7 +73,7 @@
         self.driver.heard(peer, message)
 
     def _send(self, effect: SendMessage) -> None:
-        self.link.send(effect.peer, effect.message, effect.sure)
+        self.link.send(effect.peer, effect.message, effect.reliable)
 
     def _lasting(self, heard: list[tuple[Done, str]]) -> None:
         """On the thread of the commits."""
--- a/lotuspick/protocol/cmcd.py
+++ b/lotuspick/protocol/cmcd.py
@@ -60,5 +60,5 @@
         session,
         buffer_s=keys["bl"] / 1_000 if "bl" in keys else None,
         starved=keys.get("bs", False),
-        throughput_kb=keys["mtp"] * KB_PER_KBIT if "mtp" in keys else None,
+        throughput_kb_per_s=keys["mtp"] * KB_PER_KBIT if "mtp" in keys else None,
     )
--- a/lotuspick/protocol/edge_messages.py
+++ b/lotuspick/protocol/edge_messages.py
@@ -79,8 +79,8 @@
         SET_UP,
         ask.session,
         {
-            CLASS: ask.cls.encode(),
-            WAIT: str(ask.wait_ms).encode(),
+            CLASS: ask.session_class.encode(),
+            WAIT: str(ask.timeout_ms).encode(),
             TITLE: ask.title.encode(),
             LEVEL: str(ask.rung).encode(),
             DESCRIPTION: ask.description,
--- a/lotuspick/protocol/rtsp.py
+++ b/lotuspick/protocol/rtsp.py
@@ -169,11 +169,11 @@
     left_ms = min(whole(message.header("P-Time-Left"), "P-Time-Left", 0, MOST_LEFT_MS), KEPT_MS)
     common = {
         "session": message.session,
-        "cls": message.header("P-Kind"),
+        "session_class": message.header("P-Kind"),
         "title": title,
-        "home": whole(figures["home"], "P-Path home", 0, terms.positions - 1),
+        "home_position": whole(figures["home"], "P-Path home", 0, terms.positions - 1),
         "copies": whole(figures["copies"], "P-Path copies", 1, terms.positions),
-        "ceiling": whole(figures["top"], "P-Path top", 0, terms.rungs - 1),
+        "highest_rung": whole(figures["top"], "P-Path top", 0, terms.rungs - 1),
         "deadline_us": now_us + left_ms * 1_000,
         "length_us": _hint(message.headers.get("x-length")),
         "viewer": figures.get("viewer", ""),
--- a/lotuspick/routing/dispatcher.py
+++ b/lotuspick/routing/dispatcher.py
@@ -77,7 +77,7 @@
 
 def stay_away_ms(settings: Settings) -> int:
     """How long viewers are asked to stay away from a broker that is full, as far as its settings let them be asked."""
-    return min(STAY_AWAY_US, settings.max_retry_after_us) // MS if settings.retry_after else 0
+    return min(STAY_AWAY_US, settings.max_retry_after_us) // MS if settings.retry_after_allowed else 0
 
 
 class DecisionModule(Protocol):
@@ -115,11 +115,11 @@
     def rank(self, viewer: ViewerConnection, there: int) -> tuple[int, int, int]:
         """The least is closed first: one that never said anything, one on which nothing stands, one with sessions, one
         that many share; of these, who asked least, and longest ago."""
-        if not viewer.heard_us:
+        if not viewer.last_message_us:
             return 0, 0, self.came_us
         if not there:
-            return 1, self.asked, viewer.heard_us
-        return (2 if self.asked + there <= SHARED else 3), self.asked + there, viewer.heard_us
+            return 1, self.asked, viewer.last_message_us
+        return (2 if self.asked + there <= SHARED else 3), self.asked + there, viewer.last_message_us
 
 
 def _discard(index: dict[Any, set[str]], key: Any, session: str) -> None:
@@ -205,9 +205,9 @@
         for viewer, seat in self.viewers.items():
             there = self.by_viewer.get(viewer, ())
             if (
-                viewer.open
+                viewer.is_open
                 and viewer not in asking
-                and viewer.heard_us <= now - QUIET_US
+                and viewer.last_message_us <= now - QUIET_US
                 and all(self.table[each].stands for each in there)
             ):
                 ranked.append((seat.rank(viewer, len(there)), viewer))
@@ -287,7 +287,7 @@
                 self.edges.release(entry.edge, session, TerminationReason.STOPPED)
                 self._over(session, entry, TerminationReason.STOPPED, now)
         if not any(
-            each.open for each in self.viewers
+            each.is_open for each in self.viewers
         ):  # guards against an end put off for viewers that are gone
             log.info("no viewer left to tell", extra={"releases": len(self.owed)})
             self.owed.clear()
@@ -303,33 +303,35 @@
             seat.asked += 1
         if isinstance(request, SessionPlaying):
             return self._handed_over(request, held, item.viewer, now)
-        if item.viewer is not None and not item.viewer.open:
+        if item.viewer is not None and not item.viewer.is_open:
             return []  # it has left. Guards against a flood that costs a line and an answer for each of its copies
         if held is not None and not held.stands and item.viewer is not None:
             if item.viewer is held.viewer or item.viewer in held.again:
-                item.viewer.abandon(f"Session {session} is asked for twice")  # which answer would be whose?
+                item.viewer.close_with_error(
+                    f"Session {session} is asked for twice"
+                )  # which answer would be whose?
                 return []
             if self._same(held, item):
                 # Sent again after a close that it crossed: one request, one answer. Guards against a stranger that
                 # sends what it saw of another and would get its answer: the first connection keeps it while it is open.
                 held.again[item.viewer] = now
                 self._seat(session, item.viewer)
-                if held.viewer is not None and not held.viewer.open:
+                if held.viewer is not None and not held.viewer.is_open:
                     self._pass_on(session, held, now)
                 return []
         # Guards against a paid set-up that goes out twice: its viewer left, or lost its connection, and comes again
         # under the same name while the attempt made for it may still run.
         used = held is not None or session in self.unsettled
-        if used or request.cls not in self.classes:
+        if used or request.session_class not in self.classes:
             self._say(
                 item.viewer,
                 lambda viewer: viewer.failed(
-                    session, "id in use" if used else f"unknown class {request.cls}"
+                    session, "id in use" if used else f"unknown class {request.session_class}"
                 ),
             )
             return []
         if self.open_set_ups >= MOST_OPEN:
-            self._say(item.viewer, lambda viewer: viewer.refused(session, self.gap_ms))
+            self._say(item.viewer, lambda viewer: viewer.rejected(session, self.gap_ms))
             return []
         entry = self.table[session] = SessionEntry(request, item.description, item.viewer)
         self._seat(session, entry.viewer)
@@ -341,7 +343,7 @@
         """The connection of an open request has ended: go on on the one on which it came again, if that was just
         before. False: its viewer has left."""
         for viewer, came_us in entry.again.items():
-            if viewer.open and now - came_us <= AGAIN_US:
+            if viewer.is_open and now - came_us <= AGAIN_US:
                 self._unseat(session, entry.viewer)
                 entry.viewer = viewer
                 del entry.again[viewer]
@@ -356,14 +358,14 @@
     def _handed_over(
         self, request: SessionPlaying, held: SessionEntry | None, viewer: ViewerConnection | None, now: int
     ) -> list[Event]:
-        if held is not None or request.cls not in self.classes:
+        if held is not None or request.session_class not in self.classes:
             return []
         entry = SessionEntry(
             request, viewer=viewer, edge=request.server, attempt=0, sent_us=now, written_us=now, stands=True
         )
         self._put(request.session, entry)
         self._seat(request.session, entry.viewer)
-        self.edges.watch(request.server)
+        self.edges.keep_connected(request.server)
         return [request]
 
     def _dropped(self, item: SessionCancelled, now: int) -> list[Event]:
@@ -373,7 +375,7 @@
         if not entry.stands:
             return self._give_up(item.session, entry)
         self.edges.release(entry.edge, item.session, TerminationReason.REVOKED)
-        return [replace(self._over(item.session, entry, TerminationReason.REVOKED, now), left=True)]
+        return [replace(self._over(item.session, entry, TerminationReason.REVOKED, now), viewer_left=True)]
 
     def _dismissed(self, item: SessionRevoked, now: int) -> list[Event]:
         entry = self.table.get(item.session)
@@ -438,7 +440,7 @@
             and entry.edge == item.edge
             and entry.out
             and entry.viewer is not None
-            and not entry.viewer.open
+            and not entry.viewer.is_open
             and not self._pass_on(item.session, entry, now)
         ):
             # Its viewer left, which is not told yet. Guards against a session that stands for nobody.
@@ -498,9 +500,9 @@
         """Guards against sessions left standing at a process that died and came back before it was dialled: a
         start cuts what stood before it. What was written later is the new process's, whenever it was queued."""
         events: list[Event] = []
-        for entry in item.news.servers:
+        for entry in item.update.servers:
             events.extend(self._cut(entry.server, TerminationReason.DOWN, now, entry.started_us))
-        return [*events, item.news]
+        return [*events, item.update]
 
     def _cut(self, edge: str, ending: TerminationReason, now: int, before_us: int) -> list[Event]:
         """End what stands at an edge server since before a time; attempts are reported one by one."""
@@ -555,11 +557,11 @@
         return event
 
     def _release(self, session: str, entry: SessionEntry, ending: TerminationReason, now: int) -> None:
-        viewer = entry.viewer if entry.viewer is not None and entry.viewer.open else None
+        viewer = entry.viewer if entry.viewer is not None and entry.viewer.is_open else None
         if viewer is None:
             # A session belongs to no connection, so any that is open will do. Guards against one that is read
             # by nobody any more: the one that has carried most set-ups is surely in use.
-            can = [each for each in self.viewers if each.open]
+            can = [each for each in self.viewers if each.is_open]
             viewer = max(can, key=lambda each: self.viewers[each].asked, default=None)
         if viewer is None:
             self.owed.append((now + OWED_US, session, ending))
@@ -567,7 +569,7 @@
             viewer.released(session, ending)
 
     def _take_back(self, session: str, entry: SessionEntry, ending: TerminationReason, final: bool) -> Event:
-        if self.edges.give_up(entry.edge, session):
+        if self.edges.cancel_attempt(entry.edge, session):
             ending = TerminationReason.UNSENT  # it never left the queue
         else:
             self.unsettled.add(session, entry.edge, self.ticked_us)
@@ -607,12 +609,12 @@
         self._leave(session, entry)
 
     def _say(self, viewer: ViewerConnection | None, what: Callable[[ViewerConnection], None]) -> None:
-        if viewer is not None and viewer.open:
+        if viewer is not None and viewer.is_open:
             what(viewer)
 
     def _answer(self, session: str, entry: SessionEntry, what: Callable[[ViewerConnection], None]) -> None:
         """The request's one final answer; an attempt that is out is taken back."""
-        if entry.viewer is not None and not entry.viewer.open:
+        if entry.viewer is not None and not entry.viewer.is_open:
             self._pass_on(session, entry, self.clock())
         self._say(entry.viewer, what)
         if entry.out:
@@ -625,7 +627,7 @@
     def _carry_out(self, action: Action, now: int) -> None:
         match action:
             case StartTimer():
-                token = action.token
+                token = action.timer_id
                 self._after(now + max(action.delay_us, 1), lambda later: TimerFired(token))
             case LogMessage():
                 log.info("module", extra={"text": action.text})
@@ -649,7 +651,7 @@
                 self._send(action, entry, now)
             case RejectSession() if not entry.stands:
                 gap_ms, why = action.retry_after_us // MS, action.reason
-                self._answer(session, entry, lambda viewer: viewer.refused(session, gap_ms, why))
+                self._answer(session, entry, lambda viewer: viewer.rejected(session, gap_ms, why))
             case FailSession() if not entry.stands:
                 self._answer(session, entry, lambda viewer: viewer.failed(session))
 
@@ -662,10 +664,15 @@
         wait_us = min(action.timeout_us, left_us) if action.timeout_us else left_us
         attempt = entry.attempt
         log.debug("sent", extra={"session": session, "edge": action.server, "rung": entry.rung})
-        ending = self.edges.set_up(
+        ending = self.edges.start_attempt(
             action.server,
             AttemptRequest(
-                session, request.cls, request.title, entry.rung, max(1, wait_us // MS), entry.description
+                session,
+                request.session_class,
+                request.title,
+                entry.rung,
+                max(1, wait_us // MS),
+                entry.description,
             ),
         )
         if ending is not None:
--- a/lotuspick/routing/interfaces.py
+++ b/lotuspick/routing/interfaces.py
@@ -16,17 +16,17 @@
     """One viewer connection of any front, as the loop sees it. Calls after its end do nothing."""
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether anything can still be written to it."""
 
     @property
-    def heard_us(self) -> int:
+    def last_message_us(self) -> int:
         """When a whole message last came from it, on the clock of the loop; 0: never."""
 
     def served(self, session: str, description: bytes) -> None:
         """The session plays; the description is the edge server's, byte for byte."""
 
-    def refused(self, session: str, gap_ms: int, why: str = "") -> None:
+    def rejected(self, session: str, gap_ms: int, why: str = "") -> None:
         """To ask again is harmless, after ``gap_ms`` where above 0. ``why``: the reason of a guide, if it was one."""
 
     def failed(self, session: str, why: str = "") -> None:
@@ -35,7 +35,7 @@
     def released(self, session: str, ending: TerminationReason) -> None:
         """A session that stood is over."""
 
-    def abandon(self, why: str) -> None:
+    def close_with_error(self, why: str) -> None:
         """Its peer cannot be told apart from itself any more: say why and close."""
 
 
@@ -44,20 +44,20 @@
     """One attempt, as an edge server is asked for it."""
 
     session: str
-    cls: str
+    session_class: str
     title: str
     rung: int
-    wait_ms: int
+    timeout_ms: int
     description: bytes
 
 
 class EdgeServers(Protocol):
     """The connections to all edge servers, known by id."""
 
-    def set_up(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
+    def start_attempt(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
         """Send or queue an attempt; an ending where that cannot be done."""
 
-    def give_up(self, edge: str, session: str) -> bool:
+    def cancel_attempt(self, edge: str, session: str) -> bool:
         """Take an attempt back. True: it was still queued, so that it never left."""
 
     def release(self, edge: str, session: str, ending: TerminationReason) -> None:
@@ -66,7 +66,7 @@
     def set_rung(self, edge: str, session: str, rung: int) -> None:
         """Change the rung of a session that stands."""
 
-    def watch(self, edge: str) -> None:
+    def keep_connected(self, edge: str) -> None:
         """Sessions stand there: see to an open connection."""
 
 
--- a/lotuspick/routing/messages.py
+++ b/lotuspick/routing/messages.py
@@ -101,7 +101,7 @@
 class EndpointListChanged:
     """News of the server list."""
 
-    news: ServerListUpdate
+    update: ServerListUpdate
 
 
 @dataclass(frozen=True, slots=True)
@@ -128,7 +128,7 @@
 class TenantRatesUpdated:
     """The tenants, as just read from their directory."""
 
-    news: TenantRates
+    update: TenantRates
 
 
 InboundMessage = (
--- a/lotuspick/simulator.py
+++ b/lotuspick/simulator.py
@@ -77,11 +77,11 @@
 def _session(fields: Fields) -> dict[str, object]:
     return {
         "session": need(fields, "Tid"),
-        "cls": need(fields, "Cls"),
+        "session_class": need(fields, "Cls"),
         "title": fields.get("Show", ""),
-        "home": whole(fields, "FirstCell", 0),
+        "home_position": whole(fields, "FirstCell", 0),
         "copies": whole(fields, "Copies", 1),
-        "ceiling": whole(fields, "CeilingRung"),
+        "highest_rung": whole(fields, "CeilingRung"),
         "deadline_us": whole(fields, "DropDeadUs"),
         "length_us": loose(fields.get("WorkUs")),
         "tenant": fields.get("Org", ""),
@@ -166,7 +166,7 @@
         case FailSession():
             return f"ERROR Tid={action.session}"
         case StartTimer():
-            return f"TIMER Handle={action.token} FromNowUs={action.delay_us}"
+            return f"TIMER Handle={action.timer_id} FromNowUs={action.delay_us}"
         case Subscribe():
             return "FOLLOW On=1"
         case LogMessage():
--- a/lotuspick/state_machine.py
+++ b/lotuspick/state_machine.py
@@ -43,7 +43,7 @@
 class WriteCommitted:
     """A write lasts: its number, counted from 1 at the start of the process."""
 
-    write: int
+    write_number: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
 class CommandReceived:
     """The broker that the part belongs to wants something of it."""
 
-    what: Any
+    command: Any
 
 
 Event = ProcessStarted | MessageReceived | WriteCommitted | TimerFired | CommandReceived
@@ -77,7 +77,7 @@
 
     peer: str
     message: Any
-    sure: bool = False
+    reliable: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
 class Notify:
     """What the part's own broker should know."""
 
-    news: Any
+    notification: Any
 
 
 Effect = PersistRecord | SendMessage | StartTimer | Notify
@@ -110,11 +110,11 @@
     """Holds back what must not leave before a write lasts (rule 2), for any driver."""
 
     written: int = 0
-    lasting: int = 0
-    waiting: deque[tuple[int, Effect]] = field(default_factory=deque)
+    committed: int = 0
+    blocked: deque[tuple[int, Effect]] = field(default_factory=deque)
     """What waits, with the write that it waits for."""
 
-    def put(self, effects: Sequence[Effect]) -> list[Effect]:
+    def add(self, effects: Sequence[Effect]) -> list[Effect]:
         """Take the effects of a step; returns those that are to be carried out at once, in order."""
         ready: list[Effect] = []
         for effect in effects:
@@ -122,19 +122,19 @@
                 case PersistRecord():
                     self.written += 1
                     ready.append(effect)
-                case SendMessage() | Notify() if self.written > self.lasting:
-                    self.waiting.append((self.written, effect))
+                case SendMessage() | Notify() if self.written > self.committed:
+                    self.blocked.append((self.written, effect))
                 case _:
                     ready.append(effect)
         return ready
 
-    def lasts(self, write: int) -> list[Effect]:
+    def commit(self, write: int) -> list[Effect]:
         """A write lasts, and with it all before; returns what it has held back. Raises ``ValueError`` for one that was
         never written."""
         if write > self.written:
             raise ValueError(f"write {write} was never asked for, {self.written} were")
-        self.lasting = max(self.lasting, write)
+        self.committed = max(self.committed, write)
         ready: list[Effect] = []
-        while self.waiting and self.waiting[0][0] <= self.lasting:
-            ready.append(self.waiting.popleft()[1])
+        while self.blocked and self.blocked[0][0] <= self.committed:
+            ready.append(self.blocked.popleft()[1])
         return ready
--- a/lotuspick/transport/edge_servers/edge_pool.py
+++ b/lotuspick/transport/edge_servers/edge_pool.py
@@ -558,10 +558,10 @@
 
     # ---- the loop's side ----------------------------------------------------------------------------------
 
-    def set_up(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
+    def start_attempt(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
         return self._link(edge).send(QueuedAttempt(wire.set_up(ask), ask.session))
 
-    def give_up(self, edge: str, session: str) -> bool:
+    def cancel_attempt(self, edge: str, session: str) -> bool:
         return self._link(edge).give_up(session)
 
     def release(self, edge: str, session: str, ending: TerminationReason) -> None:
@@ -570,7 +570,7 @@
     def set_rung(self, edge: str, session: str, rung: int) -> None:
         self._link(edge).send(QueuedAttempt(wire.new_rung(session, rung)))
 
-    def watch(self, edge: str) -> None:
+    def keep_connected(self, edge: str) -> None:
         link = self._link(edge)
         if link.connection is None:
             link.dial("handed over")
--- a/lotuspick/transport/http/http_server.py
+++ b/lotuspick/transport/http/http_server.py
@@ -70,7 +70,7 @@
     def __init__(self, front: HttpServer, session: str, request: Any) -> None:
         self.front, self.session = front, session
         self.request: Any = request
-        self.open, self.heard_us = True, 0
+        self.is_open, self.last_message_us = True, 0
         self.stands = False
         self.waiting: list[Any] = []  # requests that wait for the end
         request.notifyFinish().addErrback(self._left)
@@ -78,7 +78,7 @@
     def _left(self, reason: Failure) -> None:
         """The connection closed before the answer: the set-up is given up."""
         if self.request is not None:
-            self.request, self.open = None, False
+            self.request, self.is_open = None, False
             self.front.over(self, TerminationReason.GIVEN_UP)
             self.front.post(ViewerConnectionClosed(self))
 
@@ -96,7 +96,7 @@
         self.stands = True
         self._answer(SERVED, description)
 
-    def refused(self, session: str, gap_ms: int, why: str = "") -> None:
+    def rejected(self, session: str, gap_ms: int, why: str = "") -> None:
         if why.startswith("token-"):
             self._answer(FORBIDDEN, why.encode())
         else:
@@ -107,7 +107,7 @@
         self._answer(FAILED, why.encode())
         self.front.over(self, TerminationReason.EDGE_ERROR)
 
-    def abandon(self, why: str) -> None:
+    def close_with_error(self, why: str) -> None:
         """An id in use is turned away before it gets as far as the loop."""
 
     def released(self, session: str, ending: TerminationReason) -> None:
@@ -320,7 +320,7 @@
             return GONE if session in self.front.ended else MISSING
         self.front.post(SessionCancelled(session))
         if player.request is not None:  # nothing is owed for a set-up given up, but its request wants an end
-            player.refused(session, 0)
+            player.rejected(session, 0)
         else:
             self.front.over(player, TerminationReason.REVOKED)
         return NOTHING
--- a/lotuspick/transport/http/media_nodes.py
+++ b/lotuspick/transport/http/media_nodes.py
@@ -100,11 +100,11 @@
 
     # ---- the loop's side ----------------------------------------------------------------------------------
 
-    def set_up(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
+    def start_attempt(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
         node = self.nodes[edge]
         if len(node.open) >= MOST_OPEN:
             return TerminationReason.QUEUE_FULL
-        query = {"class": ask.cls, "title": ask.title, "rung": ask.rung, "wait_ms": ask.wait_ms}
+        query = {"class": ask.session_class, "title": ask.title, "rung": ask.rung, "wait_ms": ask.timeout_ms}
         asked = self._request(node, "POST", f"/sessions/{ask.session}", query, ask.description)
         node.open[ask.session] = asked
         asked.addCallbacks(self._answered, self._unanswered, (node, ask.session), {}, (node, ask.session))
@@ -114,14 +114,14 @@
     def _answered(self, answer: tuple[int, bytes], node: MediaNode, session: str) -> None:
         if node.open.pop(session, None) is not None:
             self.post(wire.answer(node.name, session, *answer))
-            self.watch(node.name)
+            self.keep_connected(node.name)
 
     def _unanswered(self, reason: Failure, node: MediaNode, session: str) -> None:
         if node.open.pop(session, None) is None or reason.check(CancelledError):
             return  # given up here: the loop knows
         self.post(AttemptTerminated(node.name, session, ending(reason)))
 
-    def give_up(self, edge: str, session: str) -> bool:
+    def cancel_attempt(self, edge: str, session: str) -> bool:
         asked = self.nodes[edge].open.pop(session, None)
         if asked is not None:
             asked.cancel()  # closes its connection, which gives it up; the release makes sure
@@ -139,7 +139,7 @@
         told.addTimeout(GRACE_S, self.reactor)
         told.addErrback(lambda reason: log.info("node not told", extra={"node": edge, "what": method}))
 
-    def watch(self, edge: str) -> None:
+    def keep_connected(self, edge: str) -> None:
         node = self.nodes[edge]
         if not node.polling:
             node.polling, node.heard_s = True, self.reactor.seconds()
@@ -206,11 +206,11 @@
     def _pool(self, edge: str) -> EdgeServers:
         return self.nodes if edge in self.nodes.nodes else self.edges
 
-    def set_up(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
-        return self._pool(edge).set_up(edge, ask)
+    def start_attempt(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
+        return self._pool(edge).start_attempt(edge, ask)
 
-    def give_up(self, edge: str, session: str) -> bool:
-        return self._pool(edge).give_up(edge, session)
+    def cancel_attempt(self, edge: str, session: str) -> bool:
+        return self._pool(edge).cancel_attempt(edge, session)
 
     def release(self, edge: str, session: str, ending: TerminationReason) -> None:
         self._pool(edge).release(edge, session, ending)
@@ -218,5 +218,5 @@
     def set_rung(self, edge: str, session: str, rung: int) -> None:
         self._pool(edge).set_rung(edge, session, rung)
 
-    def watch(self, edge: str) -> None:
-        self._pool(edge).watch(edge)
+    def keep_connected(self, edge: str) -> None:
+        self._pool(edge).keep_connected(edge)
--- a/lotuspick/transport/peers/state_machine_driver.py
+++ b/lotuspick/transport/peers/state_machine_driver.py
@@ -95,7 +95,7 @@
         self._stepping = True
         try:
             while self._events and not self._closed:
-                self._carry_out(self._outbox.put(self.machine.step(self.clock(), self._events.popleft())))
+                self._carry_out(self._outbox.add(self.machine.step(self.clock(), self._events.popleft())))
         finally:
             self._stepping = False
 
@@ -110,7 +110,7 @@
                     self.send(effect)
                 case StartTimer(timer=timer, delay_us=delay_us):
                     self._set(timer, self.clock() + delay_us)
-                case Notify(news=news):
+                case Notify(notification=news):
                     self.tell(news)
         self._write()
 
@@ -133,9 +133,9 @@
             return
         self.fault = ""
         del self._unwritten[:count]
-        last = self._outbox.lasting + count
-        first = self._outbox.lasting + 1
-        self._carry_out(self._outbox.lasts(last))
+        last = self._outbox.committed + count
+        first = self._outbox.committed + 1
+        self._carry_out(self._outbox.commit(last))
         for write in range(first, last + 1):
             self._happens(WriteCommitted(write))
         self._write()
--- a/lotuspick/transport/rtsp/rtsp_server.py
+++ b/lotuspick/transport/rtsp/rtsp_server.py
@@ -49,7 +49,7 @@
 
     def __init__(self, front: RtspServer) -> None:
         self.front = front
-        self.open = False
+        self.is_open = False
         self._decoder = rtsp.Decoder()
         self._want = 0
         self._body = b""
@@ -57,12 +57,12 @@
         self._unread: Any = None
         self._resting: Any = None
         self._faults = 0
-        self.heard_us = 0  # when a whole message last came
+        self.last_message_us = 0  # when a whole message last came
 
     # ---- connection ---------------------------------------------------------------------------------------
 
     def connectionMade(self) -> None:
-        self.open = True
+        self.is_open = True
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self._part_way = self.front.reactor.callLater(PART_WAY_S, self._late)
@@ -88,8 +88,8 @@
         """Nothing more is heard or said, whenever the socket goes: what it asked for and is open is given up now."""
         self._part_way = self._stop(self._part_way)
         self._resting = self._stop(self._resting)
-        if self.open:
-            self.open = False
+        if self.is_open:
+            self.is_open = False
             self.front.left(self)
 
     def _late(self) -> None:
@@ -123,7 +123,7 @@
     def descriptor(self) -> int:
         """Its socket, where something may come on it that is waited for; else -1. One that rests is not waited for, as
         it sends without end."""
-        return self.transport.fileno() if self.open and self._resting is None else -1
+        return self.transport.fileno() if self.is_open and self._resting is None else -1
 
     def _stop(self, call: Any) -> Any:
         if call is not None and call.active():
@@ -134,10 +134,10 @@
 
     def dataReceived(self, data: bytes) -> None:
         super().dataReceived(data)
-        waiting = self.open and (self._decoder.part_way or bool(self.line_mode and self._buffer))
+        waiting = self.is_open and (self._decoder.part_way or bool(self.line_mode and self._buffer))
         if waiting and self._part_way is None:
             self._part_way = self.front.reactor.callLater(PART_WAY_S, self._late)
-        elif not waiting and self.heard_us:
+        elif not waiting and self.last_message_us:
             self._part_way = self._stop(self._part_way)
 
     def lineReceived(self, line: bytes) -> None:
@@ -157,7 +157,7 @@
         if len(self._body) == self._want:
             body, self._body = self._body, b""
             self._message(self._decoder.body(body))
-            if self.open:
+            if self.is_open:
                 self.setLineMode(rest)
 
     def lineLengthExceeded(self, line: bytes) -> None:
@@ -165,13 +165,13 @@
 
     def _malformed(self, fault: str) -> None:
         """The framing cannot be trusted any more: say so and close."""
-        if self.open:  # once for each connection
+        if self.is_open:  # once for each connection
             log.info("malformed input from a viewer", extra={"fault": fault})
             self._write(rtsp.response(rtsp.BAD_REQUEST, "0", why=fault))
             self.finish()
             self.clearLineBuffer()
 
-    def abandon(self, why: str) -> None:
+    def close_with_error(self, why: str) -> None:
         self._malformed(why)
 
     def _rest(self) -> None:
@@ -196,7 +196,7 @@
 
     def _message(self, message: rtsp.Message) -> None:
         # A busy viewer may always be part way in some message: only one that takes too long counts.
-        self._part_way, self.heard_us = self._stop(self._part_way), now_us()
+        self._part_way, self.last_message_us = self._stop(self._part_way), now_us()
         if not message.method:
             return  # a release heard; it means nothing
         cseq = message.headers.get("cseq", "")
@@ -235,13 +235,13 @@
     # ---- writing ------------------------------------------------------------------------------------------
 
     def _write(self, data: bytes) -> None:
-        if self.open:
+        if self.is_open:
             self.transport.write(data)
 
     def served(self, session: str, description: bytes) -> None:
         self._write(rtsp.response(rtsp.SERVED, rtsp.CSEQ["SETUP"], session, description))
 
-    def refused(self, session: str, gap_ms: int, why: str = "") -> None:
+    def rejected(self, session: str, gap_ms: int, why: str = "") -> None:
         self._write(rtsp.response(rtsp.NO_BANDWIDTH, rtsp.CSEQ["SETUP"], session, gap_ms=gap_ms, why=why))
 
     def failed(self, session: str, why: str = "") -> None:
@@ -343,7 +343,7 @@
         """Close all in order, once what was written has left. Guards against a set-up lost that comes while
         the process ends: one that crosses a close is sent once more, elsewhere."""
         for viewer in list(self.viewers):
-            if viewer.open:
+            if viewer.is_open:
                 viewer.say_no_more()
 
     def left(self, viewer: RtspConnection) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -24,25 +24,25 @@
 def settings(**changes: Any) -> Settings:
     values: dict[str, Any] = {
         "zone": "a",
-        "gateways": 1,
-        "ladder_kb": LADDER,
-        "rung_worth": (0.25, 0.5, 0.75, 1.0),
+        "brokers": 1,
+        "ladder_kb_per_s": LADDER,
+        "rung_values": (0.25, 0.5, 0.75, 1.0),
         "classes": [
             ClassSettings("clip", SECOND),
-            ClassSettings("exam", 1_500_000, effect="paid", worth=3.0),
+            ClassSettings("exam", 1_500_000, retry_safety="paid", priority_weight=3.0),
         ],
-        "places_by_kind": {"box": 30},
+        "stream_limit_by_kind": {"box": 30},
         "positions": 4,
         "racks": 2,
         "link_kb_per_weight": 1000.0,
-        "seen_after_us": 500_000,
-        "tell_us": 3 * SECOND,
+        "notification_delay_us": 500_000,
+        "notification_interval_us": 3 * SECOND,
         "max_attempts": 4,
         "drain_grace_us": SECOND,
-        "cold_from": 0.5,
-        "cold_us": 8 * SECOND,
-        "fall_multiple": 2.5,
-        "fall_us": 1_500_000,
+        "slow_start_fraction": 0.5,
+        "warm_up_us": 8 * SECOND,
+        "overload_factor": 2.5,
+        "overload_window_us": 1_500_000,
     }
     return Settings(**{**values, **changes})
 
@@ -59,11 +59,11 @@
 def request(session: str, now: int = 0, **changes: Any) -> SessionRequest:
     values: dict[str, Any] = {
         "session": session,
-        "cls": "clip",
+        "session_class": "clip",
         "title": "t",
-        "home": 0,
+        "home_position": 0,
         "copies": 4,
-        "ceiling": 3,
+        "highest_rung": 3,
         "deadline_us": now + 4 * SECOND,
         "length_us": 40e6,
     }
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -68,15 +68,15 @@
     return Controller(
         settings(
             racks=3,
-            gateways=2,
-            uplink_kb=9_000.0,
-            retry_after=True,
+            brokers=2,
+            uplink_kb_per_s=9_000.0,
+            retry_after_allowed=True,
             cross_zone_price=0.06,
             max_retry_after_us=2 * SECOND,
-            change_cost_s=0.5,
+            rung_change_cost_s=0.5,
             link_kb_per_weight=2_000.0,
-            weights="nominal",
-            reports=True,
+            weight_kind="nominal",
+            inline_load_reports=True,
             tenant_rates=TENANTS,
             positions=COUNT,
         ),
@@ -222,7 +222,7 @@
         for action in actions:
             match action:
                 case StartTimer():
-                    self.after(now + action.delay_us, TimerFired(action.token))
+                    self.after(now + action.delay_us, TimerFired(action.timer_id))
                 case SetRung():
                     self.rungs[action.session] = action.rung
                 case ForwardAttempt():
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -18,7 +18,7 @@
 @pytest.mark.parametrize("gateways", [1, 1000])
 @pytest.mark.parametrize("count", [1, 3000])
 def test_any_number_of_servers_and_gateways(gateways: int, count: int) -> None:
-    made = Controller(settings(gateways=gateways, positions=count), 1)
+    made = Controller(settings(brokers=gateways, positions=count), 1)
     made.handle(0, [ServerListUpdate([entry(position) for position in range(count)], complete=True)])
     assert place(made, NOW, "a", copies=count) is not None
 
@@ -36,7 +36,7 @@
 
 
 def test_more_racks_than_servers() -> None:
-    made = Controller(settings(racks=50, positions=2, uplink_kb=900.0), 1)
+    made = Controller(settings(racks=50, positions=2, uplink_kb_per_s=900.0), 1)
     made.handle(0, [ServerListUpdate([entry(0), entry(1)], complete=True)])
     assert place(made, NOW, "a", copies=2) is not None
 
@@ -44,7 +44,7 @@
 def test_a_clock_that_jumps_answers_what_is_overdue_once() -> None:
     made = controller(loads=1.5)
     made.handle(NOW, [request("a", NOW)])
-    assert place(made, NOW, "b", cls="exam", ceiling=0) is None
+    assert place(made, NOW, "b", session_class="exam", highest_rung=0) is None
     late = made.handle(NOW + 900 * SECOND, [TimerFired(token) for token in list(made.timers)])
     assert sorted(each.session for each in of(late, RejectSession)) == ["a", "b"]
     assert not of(late, ForwardAttempt)
@@ -78,7 +78,7 @@
 
 
 def test_a_viewer_below_the_floor_of_the_class_is_refused() -> None:
-    made = controller(classes=[ClassSettings("clip", SECOND, floor=2)])
-    actions = made.handle(NOW, [request("a", NOW, ceiling=1)])
+    made = controller(classes=[ClassSettings("clip", SECOND, lowest_rung=2)])
+    actions = made.handle(NOW, [request("a", NOW, highest_rung=1)])
     assert of(actions, RejectSession) and not of(actions, ForwardAttempt) and not of(actions, SetRung)
     assert not made.sessions
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -54,7 +54,7 @@
 
 def guide(made: Plan, count: int = COUNT) -> CellConstraints:
     fresh = CellConstraints(made, count)
-    fresh.told(0, roster(count))
+    fresh.on_event(0, roster(count))
     return fresh
 
 
@@ -327,7 +327,7 @@
 
 class Guided(unittest.TestCase):
     def ask(self, made: CellConstraints, session: str, now: int = NOW, **changes: Any) -> Any:
-        return made.bounds(
+        return made.constraint_for(
             now, request(session, now, **{"tenant": "t", "copies": COUNT, "viewer": session, **changes})
         )
 
@@ -350,10 +350,10 @@
         made = guide(plan(ASSIGNED))
         for at in range(8):
             self.ask(made, f"s{at}", viewer=f"v{at}")
-            made.told(NOW, ForwardAttempt(f"s{at}", "s0", SECOND))
-            made.told(NOW, SessionStarted(f"s{at}", 0, "s0"))
+            made.on_event(NOW, ForwardAttempt(f"s{at}", "s0", SECOND))
+            made.on_event(NOW, SessionStarted(f"s{at}", 0, "s0"))
         for at in range(8):
-            made.told(NOW, AttemptEnded(f"s{at}", 0, "s0", "lost", final=True))
+            made.on_event(NOW, AttemptEnded(f"s{at}", 0, "s0", "lost", final=True))
             self.assertEqual(self.ask(made, f"again{at}", viewer=f"v{at}", returned=True).reason, "")
         self.assertEqual(
             self.ask(made, "free", viewer="v0", returned=True).reason, ""
@@ -367,11 +367,11 @@
         outcomes = []
         for at in range(12):
             self.ask(made, f"s{at}")
-            made.told(NOW, ForwardAttempt(f"s{at}", "s0", SECOND))
+            made.on_event(NOW, ForwardAttempt(f"s{at}", "s0", SECOND))
         for at in range(12):
-            made.told(NOW, AttemptEnded(f"s{at}", 0, "s0", "full"))
+            made.on_event(NOW, AttemptEnded(f"s{at}", 0, "s0", "full"))
             outcomes.append(self.ask(made, f"s{at}").reason)
-            made.told(
+            made.on_event(
                 NOW,
                 RejectSession(f"s{at}", 0, outcomes[-1])
                 if outcomes[-1]
@@ -383,7 +383,7 @@
     def test_open_set_ups_are_bounded_and_free_again(self) -> None:
         made = guide(plan(ASSIGNED + "[budgets.tenant]\nopen = 2\n"))
         self.assertEqual([self.ask(made, f"s{at}").reason for at in range(3)], ["", "", "open-tenant"])
-        made.told(NOW, ViewerDisconnected("s0"))
+        made.on_event(NOW, ViewerDisconnected("s0"))
         self.assertEqual(self.ask(made, "s9").reason, "")
 
     def test_a_part_binds_only_while_the_cell_is_contended(self) -> None:
@@ -394,12 +394,12 @@
             for at in range(count):
                 name = f"{tenant}{len(made.held)}-{at}"
                 reasons.append(self.ask(made, name, tenant=tenant).reason)
-                made.told(NOW, ForwardAttempt(name, "s0", SECOND))
-                made.told(NOW, SessionStarted(name, 0, "s0"))
+                made.on_event(NOW, ForwardAttempt(name, "s0", SECOND))
+                made.on_event(NOW, SessionStarted(name, 0, "s0"))
             return reasons
 
         self.assertEqual(set(stand(40, "t") + stand(10, "u")), {""})
-        made.told(NOW, SessionNotification("none", "s0", "link", 1.2))
+        made.on_event(NOW, SessionNotification("none", "s0", "link", 1.2))
         later = NOW + SECOND
         self.assertEqual(self.ask(made, "over", later).reason, "part")
         self.assertEqual(self.ask(made, "under", later, tenant="u").reason, "")
@@ -413,27 +413,31 @@
         ):
             cells = CELLS.replace("[cells.a]", f"[cells.a]\nelsewhere = 0.5\nsmall = '{policy}'\n{more}")
             made = guide(plan(ASSIGNED, cells))
-            bounds = self.ask(made, "x", home=2, copies=3)
+            bounds = self.ask(made, "x", home_position=2, copies=3)
             self.assertEqual(bounds.servers, servers, policy)
             self.assertEqual(bounds.reason, "" if servers else "too-small")
             if servers:
                 self.assertGreater(bounds.costs["s4"], 0)
                 for at in range(3):
-                    self.ask(made, f"y{at}", home=2, copies=3)
-                    made.told(NOW, ForwardAttempt(f"y{at}", "s4", SECOND))
+                    self.ask(made, f"y{at}", home_position=2, copies=3)
+                    made.on_event(NOW, ForwardAttempt(f"y{at}", "s4", SECOND))
                 self.assertEqual(
-                    self.ask(made, "z", home=2, copies=3).servers, {"s2", "s3"}
+                    self.ask(made, "z", home_position=2, copies=3).servers, {"s2", "s3"}
                 )  # the share is used up
 
     def test_a_cell_that_loses_its_last_node_says_so_and_follows_its_policy(self) -> None:
         made = guide(plan(ASSIGNED))
-        made.news()
-        made.told(NOW, ServerListUpdate([entry(at, state="draining" if at else "gone") for at in range(4)]))
-        self.assertEqual([(each.what, each.fields["nodes"]) for each in made.news()], [("cell empty", 0)])
+        made.take_events()
+        made.on_event(
+            NOW, ServerListUpdate([entry(at, state="draining" if at else "gone") for at in range(4)])
+        )
+        self.assertEqual(
+            [(each.name, each.fields["nodes"]) for each in made.take_events()], [("cell empty", 0)]
+        )
         self.assertEqual(self.ask(made, "x", copies=6).servers, {"s4", "s5"})
         self.assertEqual(self.ask(made, "y", copies=3).reason, "too-small")
-        made.told(NOW + SECOND, ServerListUpdate([entry(at) for at in range(4)]))
-        self.assertEqual(made.news()[-1].what, "cell large enough")
+        made.on_event(NOW + SECOND, ServerListUpdate([entry(at) for at in range(4)]))
+        self.assertEqual(made.take_events()[-1].name, "cell large enough")
 
     def test_standing_sessions_count_in_both_cells_until_the_deadline(self) -> None:
         text = (
@@ -442,17 +446,17 @@
         )
         made = guide(plan("epoch = 2\n" + text))
         self.ask(made, "x")
-        made.told(NOW, ForwardAttempt("x", "s0", SECOND))
-        made.told(NOW, SessionStarted("x", 0, "s0"))
+        made.on_event(NOW, ForwardAttempt("x", "s0", SECOND))
+        made.on_event(NOW, SessionStarted("x", 0, "s0"))
         seen = []
         for second in (100, 112, 120, 130, 180):
-            self.ask(made, f"u{second}", second * SECOND, tenant="u", cls="clip")
-            made.told(second * SECOND, ViewerDisconnected(f"u{second}"))
+            self.ask(made, f"u{second}", second * SECOND, tenant="u", session_class="clip")
+            made.on_event(second * SECOND, ViewerDisconnected(f"u{second}"))
             seen.append(made.held["x"].cells)
         self.assertEqual(seen, [("a",), ("a",), ("a", "b"), ("a", "b"), ("a",)])
         self.assertEqual(self.ask(made, "y", 181 * SECOND, viewer="x").servers, {"s4", "s5", "s6", "s7"})
         self.assertEqual(
-            [each.fields["stage"] for each in made.news() if each.what == "move"],
+            [each.fields["stage"] for each in made.take_events() if each.name == "move"],
             ["declared", "prepared", "shifting", "draining", "done"],
         )
 
@@ -463,7 +467,7 @@
             + '[[moves]]\ntenant = "t"\nto = "b"\nepoch = 1\nstart = 100\nprepare_s = 0\nshift_s = 100\n'
         )
         old, new = guide(plan(text)), guide(plan(text))
-        old.bounds(90 * SECOND, request("early", 90 * SECOND, tenant="t", copies=COUNT))
+        old.constraint_for(90 * SECOND, request("early", 90 * SECOND, tenant="t", copies=COUNT))
         for at in range(60):
             now = (100 + 2 * at) * SECOND
             self.assertEqual(self.ask(old, f"q{at}", now).servers, self.ask(new, f"q{at}", now).servers)
@@ -472,14 +476,14 @@
     def test_plans_are_taken_in_the_order_of_their_epochs(self) -> None:
         made = guide(plan("epoch = 5\n" + ASSIGNED))
         self.ask(made, "x")
-        made.told(NOW, ForwardAttempt("x", "s0", SECOND))
+        made.on_event(NOW, ForwardAttempt("x", "s0", SECOND))
         for text, wanted in (("epoch = 4\n", "must not fall"), ("epoch = 5\n", "must rise")):
             with self.assertRaisesRegex(PlanError, wanted):
                 made.take(plan(text), NOW)
         made.take(plan("epoch = 6\n", CELLS.replace("cells.a", "cells.z")), NOW)  # its cell is gone
-        made.told(NOW, SessionStarted("x", 0, "s0"))
+        made.on_event(NOW, SessionStarted("x", 0, "s0"))
         self.assertEqual(made.held["x"].cells, ("z",))
-        made.told(NOW, AttemptEnded("x", 0, "s0", "served", final=True))
+        made.on_event(NOW, AttemptEnded("x", 0, "s0", "served", final=True))
         self.assertEqual(
             {name: (state.account.open, state.account.uses) for name, state in made.states.items()},
             {"z": (0, {}), "b": (0, {}), "c": (0, {})},
@@ -489,7 +493,7 @@
         made = guide(plan(ASSIGNED))
         for at in range(500):
             self.ask(made, f"s{at}", returned=True)
-        self.assertEqual(sum(each.what == "turned away" for each in made.news()), 1)
+        self.assertEqual(sum(each.name == "turned away" for each in made.take_events()), 1)
         self.ask(made, "later", NOW + 10 * SECOND + 1, returned=True)
         self.assertGreater(made.summary().fields["refused_budget_tenant"], 400)
 
@@ -502,12 +506,13 @@
         )
         cells = guide(plan(text))
         made = Controller(
-            settings(positions=COUNT, retry_after=True, max_retry_after_us=9 * SECOND), 7, cells
+            settings(positions=COUNT, retry_after_allowed=True, max_retry_after_us=9 * SECOND), 7, cells
         )
         made.handle(0, [roster()])
         for name, outcome, wanted in (("x", "lost", [FailSession("x")]), ("y", "unreachable", [])):
             [sent] = of(
-                made.handle(NOW, [request(name, NOW, cls="exam", tenant="t", copies=COUNT)]), ForwardAttempt
+                made.handle(NOW, [request(name, NOW, session_class="exam", tenant="t", copies=COUNT)]),
+                ForwardAttempt,
             )
             self.assertIn(sent.server, {"s0", "s1", "s2", "s3"})
             actions = made.handle(NOW + 2 * SECOND, [AttemptEnded(name, 0, sent.server, outcome)])
@@ -557,7 +562,7 @@
     )
     def ask(self, tenant: str, viewer: int, returned: bool, moved: bool, home: int, copies: int) -> None:
         self.made += 1
-        bounds = self.guide.bounds(
+        bounds = self.guide.constraint_for(
             self.now,
             request(
                 f"q{self.made}",
@@ -566,17 +571,17 @@
                 viewer=f"v{viewer}",
                 returned=returned,
                 moved=moved,
-                home=home,
+                home_position=home,
                 copies=copies,
             ),
         )
-        assert bool(bounds.reason) == (bounds.gap_us > 0) == (f"q{self.made}" not in self.guide.held)
+        assert bool(bounds.reason) == (bounds.retry_after_us > 0) == (f"q{self.made}" not in self.guide.held)
         if not bounds.reason:
             assert bounds.servers is not None and bounds.servers <= self.guide.atlas.holders(home, copies)
 
     @rule(data=st.data(), server=st.integers(0, 11))
     def send(self, data: st.DataObject, server: int) -> None:
-        self.guide.told(self.now, ForwardAttempt(self.some(data, False), f"s{server}", SECOND))
+        self.guide.on_event(self.now, ForwardAttempt(self.some(data, False), f"s{server}", SECOND))
 
     @rule(
         data=st.data(),
@@ -590,13 +595,13 @@
             "refuse": RejectSession(name),
             "fail": FailSession(name),
             "gone": ViewerDisconnected(name),
-        }.get(kind, AttemptEnded(name, 0, node, kind, final=kind == "served", report={"link": 1.1}))
+        }.get(kind, AttemptEnded(name, 0, node, kind, final=kind == "served", load_report={"link": 1.1}))
         if kind == "again" and name in self.guide.held and not self.guide.held[name].stands:
-            self.guide.bounds(self.now, self.guide.held[name].ask)
+            self.guide.constraint_for(self.now, self.guide.held[name].ask)
         elif kind != "again" and not (
             kind in ("refuse", "fail") and name in self.guide.held and self.guide.held[name].stands
         ):
-            self.guide.told(self.now, fact)
+            self.guide.on_event(self.now, fact)
 
     @rule(seconds=st.integers(-3, 8))
     def wait(self, seconds: int) -> None:
@@ -604,16 +609,26 @@
 
     @rule(at=st.integers(0, 11), state=st.sampled_from(["active", "draining", "gone"]))
     def roster(self, at: int, state: str) -> None:
-        self.guide.told(self.now, ServerListUpdate([entry(at, state=state)]))
+        self.guide.on_event(self.now, ServerListUpdate([entry(at, state=state)]))
 
     @rule(server=st.integers(0, 11))
     def playing(self, server: int) -> None:
         self.made += 1
         ask = request(f"p{self.made}", self.now, tenant="t")
-        self.guide.told(
+        self.guide.on_event(
             self.now,
             SessionPlaying(
-                ask.session, ask.cls, ask.title, 0, 3, 3, ask.deadline_us, 1e6, "v", "t", server=f"s{server}"
+                ask.session,
+                ask.session_class,
+                ask.title,
+                0,
+                3,
+                3,
+                ask.deadline_us,
+                1e6,
+                "v",
+                "t",
+                server=f"s{server}",
             ),
         )
 
--- a/tests/test_cells_live.py
+++ b/tests/test_cells_live.py
@@ -136,7 +136,7 @@
         now = 1_800_000_000 * SECOND  # after the start of the move
         guide, library, answers = CellConstraints(parse(tomllib.loads(PLAN)), 2), Library(), list[Answer]()
         plugin = Plugin(
-            settings(classes=CLASSES, positions=2, retry_after=True, max_retry_after_us=9 * SECOND),
+            settings(classes=CLASSES, positions=2, retry_after_allowed=True, max_retry_after_us=9 * SECOND),
             7,
             library,
             clock=lambda: now,
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -232,7 +232,7 @@
         self.assertIsNone(viewer.transport.producer)  # the transport closes only what it need not fill again
         viewer.resumeProducing()
         viewer.pauseProducing()
-        self.assertEqual((viewer.open, viewer.transport.aborted), (False, False))
+        self.assertEqual((viewer.is_open, viewer.transport.aborted), (False, False))
         self.clock.advance(UNREAD_S)
         self.assertTrue(viewer.transport.aborted)
         viewer.connectionLost(Failure(error.ConnectionAborted()))
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -27,7 +27,16 @@
 
 def playing(name: str, server: str = "s0", **changes: object) -> SessionPlaying:
     base = request(name, NOW, **changes)
-    names = ("session", "cls", "title", "home", "copies", "ceiling", "deadline_us", "length_us")
+    names = (
+        "session",
+        "session_class",
+        "title",
+        "home_position",
+        "copies",
+        "highest_rung",
+        "deadline_us",
+        "length_us",
+    )
     return SessionPlaying(**{key: getattr(base, key) for key in names}, server=server)
 
 
@@ -61,8 +70,8 @@
         made.handle(NOW + second * SECOND, [])
     risen = made.free_from
     assert risen > before
-    place(made, NOW + 6 * SECOND, "a", home=0, copies=1)
-    place(made, NOW + 6 * SECOND, "b", home=1, copies=1)
+    place(made, NOW + 6 * SECOND, "a", home_position=0, copies=1)
+    place(made, NOW + 6 * SECOND, "b", home_position=1, copies=1)
     high = made.free_from
     made.handle(NOW + 6 * SECOND, [note("share", 0.9)])
     fallen = high - made.free_from
@@ -77,7 +86,7 @@
     for length_us in (50e6, 10e6):
         made = controller(count=2)
         for position in (0, 1):
-            place(made, NOW, f"r{position}", home=position, copies=1, length_us=length_us)
+            place(made, NOW, f"r{position}", home_position=position, copies=1, length_us=length_us)
         before = made.free_from
         made.handle(NOW + SECOND, [])
         rises.append(made.free_from - before)
@@ -94,7 +103,7 @@
         made = Controller(settings(cross_zone_price=0.06, positions=2), seed)
         made.handle(0, [ServerListUpdate([entry(0), entry(1, zone="b")], complete=True)])
         made.handle(NOW, [note("link", load), note("link", 0.18, "s1")])
-        placed = place(made, NOW, "a", copies=2, ceiling=0)
+        placed = place(made, NOW, "a", copies=2, highest_rung=0)
         chosen.append(placed is not None and placed[0] == "s0")
     assert sum(chosen) in home
 
@@ -104,7 +113,7 @@
     """Each holds one session of a server; they hear the same notes. One gateway with all of them is alike."""
     raised = 0
     for seed in range(gateways):
-        made = Controller(settings(gateways=gateways, link_kb_per_weight=10_000.0), seed)
+        made = Controller(settings(brokers=gateways, link_kb_per_weight=10_000.0), seed)
         made.handle(0, [servers(1)])
         names = [f"p{n}" for n in range(12 // gateways)]
         made.handle(
@@ -112,10 +121,10 @@
             [
                 event
                 for name in names
-                for event in (playing(name, ceiling=1), SessionNotification(name, "s0", "rung", 0))
+                for event in (playing(name, highest_rung=1), SessionNotification(name, "s0", "rung", 0))
             ],
         )
-        made.handle(NOW, [request("x", NOW, home=3, copies=1)])
+        made.handle(NOW, [request("x", NOW, home_position=3, copies=1)])
         raised += len(of(made.handle(NOW + made.calm_us, [note("link", 0.6)]), SetRung))
     # Room up to the level of the rung: some rise, and not so many that the link is short.
     assert 0 < raised <= 12
@@ -124,24 +133,24 @@
 def test_a_cut_below_a_step_is_taken_by_chance() -> None:
     lowered = 0
     for seed in range(40):
-        made = Controller(settings(gateways=40), seed)
+        made = Controller(settings(brokers=40), seed)
         made.handle(0, [servers(1)])
-        made.handle(NOW, [playing("p", ceiling=3), SessionNotification("p", "s0", "rung", 2)])
+        made.handle(NOW, [playing("p", highest_rung=3), SessionNotification("p", "s0", "rung", 2)])
         lowered += len(of(made.handle(NOW + SECOND, [note("share", 0.93)]), SetRung))
     assert 2 <= lowered <= 20  # a tenth of 400 kB is wanted of each, a step is 200 kB: one in five
 
 
 def test_the_note_at_setup_is_of_now_and_counts_its_session() -> None:
     made = controller(count=1)
-    place(made, NOW, "a", copies=1, ceiling=0)
+    place(made, NOW, "a", copies=1, highest_rung=0)
     made.handle(NOW + 50_000, [SessionStarted("a", 0, "s0"), SessionNotification("a", "s0", "link", 0.4)])
     assert made.servers["s0"].line.load(0.0, made.now) == pytest.approx(0.4)
 
 
 def test_a_rung_chosen_unheard_is_settled_at_the_note_of_setup() -> None:
-    made = controller(count=1, loads=None, link_kb_per_weight=4000.0, gateways=100)
-    made.handle(NOW, [request("x", NOW, home=3, copies=1)])
-    assert place(made, NOW, "a", copies=1, ceiling=3) is not None
+    made = controller(count=1, loads=None, link_kb_per_weight=4000.0, brokers=100)
+    made.handle(NOW, [request("x", NOW, home_position=3, copies=1)])
+    assert place(made, NOW, "a", copies=1, highest_rung=3) is not None
     before = made.sessions["a"].rung
     actions = made.handle(
         NOW + 50_000, [SessionStarted("a", 0, "s0"), SessionNotification("a", "s0", "link", 0.05)]
@@ -163,22 +172,24 @@
 def test_how_long_readings_and_calm_count_follows_the_time_between_notes() -> None:
     """A site whose notes come twice as seldom must not take each reading for out before the next is due."""
     for tell_us in (SECOND, 2 * SECOND, 6 * SECOND):
-        made = controller(tell_us=tell_us)
+        made = controller(notification_interval_us=tell_us)
         assert made.links.keep_us > tell_us and made.calm_us > made.links.keep_us
         assert (made.links.keep_us, made.calm_us) == (1.5 * tell_us, 1.8 * tell_us)
-    assert controller(tell_us=0).links.keep_us == 1.5 * TELL_US  # none are told: a usual time stands for it
+    assert (
+        controller(notification_interval_us=0).links.keep_us == 1.5 * TELL_US
+    )  # none are told: a usual time stands for it
 
 
 def test_unheard_servers_do_not_count_as_full_while_only_full_ones_are_heard() -> None:
     made = controller(count=4, loads=None)
     made.handle(NOW, [note("link", 1.3), note("link", 1.4, "s1")])
     assert made.links.value(made.now) == BIND_FROM
-    assert place(made, NOW, "a", ceiling=0) is not None
+    assert place(made, NOW, "a", highest_rung=0) is not None
 
 
 def test_short_share_cuts_own_sessions_once_until_it_can_be_seen() -> None:
     made = controller(count=1)
-    place(made, NOW, "a", copies=1, ceiling=3)
+    place(made, NOW, "a", copies=1, highest_rung=3)
     made.handle(NOW, [SessionStarted("a", 0, "s0")])
     before = made.sessions["a"].rung
     cuts = of(made.handle(NOW + SECOND, [note("share", 0.7)]), SetRung)
@@ -189,7 +200,7 @@
 
 def test_cut_session_is_raised_after_calm_to_its_own_rung_at_most() -> None:
     made = controller(count=1)
-    place(made, NOW, "a", copies=1, ceiling=2)
+    place(made, NOW, "a", copies=1, highest_rung=2)
     made.handle(NOW, [SessionStarted("a", 0, "s0")])
     made.handle(NOW + SECOND, [note("share", 0.7)])
     early = made.handle(NOW + SECOND + made.calm_us // 2, [note("link", 0.1)])
@@ -200,8 +211,10 @@
 
 def test_inherited_session_may_be_raised_when_there_is_room() -> None:
     made = controller(count=1)
-    made.handle(NOW, [playing("old", ceiling=2), SessionNotification("old", "s0", "rung", 0)])
-    made.handle(NOW + SECOND, [request("x", NOW, home=3, copies=1)])  # nothing held: room is put together
+    made.handle(NOW, [playing("old", highest_rung=2), SessionNotification("old", "s0", "rung", 0)])
+    made.handle(
+        NOW + SECOND, [request("x", NOW, home_position=3, copies=1)]
+    )  # nothing held: room is put together
     actions = made.handle(NOW + 2 * SECOND, [note("link", 0.1)])
     assert SetRung("old", 1) in actions  # a step at a time
 
@@ -215,8 +228,8 @@
 
 
 def test_untold_uplink_is_put_together_and_learned_from_short_shares() -> None:
-    made = controller(loads=0.45, uplink_kb=2000.0)
-    made.handle(NOW, [request("x", NOW, home=3, copies=1, ceiling=0)])
+    made = controller(loads=0.45, uplink_kb_per_s=2000.0)
+    made.handle(NOW, [request("x", NOW, home_position=3, copies=1, highest_rung=0)])
     before = made.racks[0].kb
     made.handle(NOW + 1, [note("share", 0.8)])
     assert made.racks[0].kb < before and made.racks[1].kb == before
@@ -258,13 +271,15 @@
             [
                 SessionStarted(f"good{number}", 0, "s0"),
                 AttemptEnded(f"good{number}", 0, "s0", "served", final=True),
-                AttemptEnded(f"bad{number}", 0, "s0", outcome, final=True, alive=True),
+                AttemptEnded(f"bad{number}", 0, "s0", outcome, final=True, server_alive=True),
             ],
         )
     assert made.servers["s0"].cold_until <= NOW
     for number in range(6, 8):  # with the last one above three in a row
         assert place(made, NOW + number, f"bad{number}", copies=1) is not None
-        made.handle(NOW + number, [AttemptEnded(f"bad{number}", 0, "s0", outcome, final=True, alive=True)])
+        made.handle(
+            NOW + number, [AttemptEnded(f"bad{number}", 0, "s0", outcome, final=True, server_alive=True)]
+        )
     assert place(made, NOW + 10, "after", copies=1) is None
 
 
@@ -279,7 +294,7 @@
     None
 ):
     def sends(handed_over: bool, started_us: int) -> int:
-        made = Controller(settings(gateways=4, link_kb_per_weight=1e6), 7)
+        made = Controller(settings(brokers=4, link_kb_per_weight=1e6), 7)
         made.handle(NOW, [ServerListUpdate([entry(0, started_us=started_us)], complete=True)])
         if handed_over:
             made.handle(NOW, [playing("old")])
@@ -304,25 +319,25 @@
 
 def test_a_session_about_to_end_is_not_raised() -> None:
     for left, raised in ((2e6, False), (60e6, True), (None, True)):
-        made = controller(count=1, change_cost_s=0.5)
+        made = controller(count=1, rung_change_cost_s=0.5)
         made.handle(
-            NOW, [playing("old", ceiling=2, length_us=left), SessionNotification("old", "s0", "rung", 0)]
+            NOW, [playing("old", highest_rung=2, length_us=left), SessionNotification("old", "s0", "rung", 0)]
         )
-        made.handle(NOW + SECOND, [request("x", NOW, home=3, copies=1)])
+        made.handle(NOW + SECOND, [request("x", NOW, home_position=3, copies=1)])
         actions = made.handle(NOW + SECOND, [note("link", 0.1)])
         assert bool(of(actions, SetRung)) is raised
 
 
 def test_unheard_links_alone_do_not_fill_an_uplink_put_together_from_them() -> None:
-    made = controller(count=12, loads=None, positions=12, uplink_kb=3900.0, gateways=300)
+    made = controller(count=12, loads=None, positions=12, uplink_kb_per_s=3900.0, brokers=300)
     made.handle(NOW, [note("link", 0.9), note("link", 0.9, "s1")])  # the crowded title's servers
-    assert place(made, NOW, "a", home=4, copies=4, ceiling=0) is not None
+    assert place(made, NOW, "a", home_position=4, copies=4, highest_rung=0) is not None
 
 
 def test_raises_go_on_while_load_notes_are_overdue() -> None:
     made = controller(count=1)
-    made.handle(NOW, [playing("old", ceiling=2), SessionNotification("old", "s0", "rung", 0)])
-    made.handle(NOW, [request("x", NOW, home=3, copies=1)])
+    made.handle(NOW, [playing("old", highest_rung=2), SessionNotification("old", "s0", "rung", 0)])
+    made.handle(NOW, [request("x", NOW, home_position=3, copies=1)])
     made.servers["s0"].line.base = 0.1
     rungs = [
         action.rung
@@ -334,7 +349,7 @@
 
 def test_a_session_just_set_up_on_a_line_over_the_limit_is_lowered_at_once() -> None:
     made = controller(count=1)
-    place(made, NOW, "a", copies=1, ceiling=3)
+    place(made, NOW, "a", copies=1, highest_rung=3)
     before = made.sessions["a"].rung
     actions = made.handle(
         NOW + 50_000, [SessionStarted("a", 0, "s0"), SessionNotification("a", "s0", "link", 1.1)]
@@ -346,7 +361,7 @@
     ("allowed", "most", "told"), [(True, 5 * SECOND, SECOND), (True, 300_000, 300_000), (False, SECOND, 0)]
 )
 def test_a_refusal_says_when_to_come_back(allowed: bool, most: int, told: int) -> None:
-    made = controller(count=1, retry_after=allowed, max_retry_after_us=most)
-    answers = made.handle(NOW, [request("a", NOW, ceiling=0, home=3, copies=1)])
+    made = controller(count=1, retry_after_allowed=allowed, max_retry_after_us=most)
+    answers = made.handle(NOW, [request("a", NOW, highest_rung=0, home_position=3, copies=1)])
     answers += made.handle(NOW + 5 * SECOND, [])
     assert [each.retry_after_us for each in of(answers, RejectSession)] == [told]
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -208,7 +208,7 @@
 def sent(effects: list[Any]) -> list[list[Any]]:
     """Messages among effects: to whom, whether in order, and the bytes."""
     return [
-        [each.peer, each.sure, peer_connections.ENCODE(each.message).hex()]
+        [each.peer, each.reliable, peer_connections.ENCODE(each.message).hex()]
         for each in effects
         if isinstance(each, SendMessage)
     ]
@@ -279,7 +279,7 @@
         standings = fleet_standing.QuorumTracker(rules)
         standings.now = standing
         guide = fleet_guide.MembershipConstraints(standings, frozenset({"exam"}), lambda: 0)
-        reasons[str(int(standing))] = guide.bounds(0, request).reason
+        reasons[str(int(standing))] = guide.constraint_for(0, request).reason
     return reasons
 
 
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -75,7 +75,11 @@
         server = made.servers[send.server]
         for _ in range(4):
             made.handle(
-                NOW, [PlayerHint("a", throughput_kb=1.0), SessionNotification("a", send.server, "share", 0.5)]
+                NOW,
+                [
+                    PlayerHint("a", throughput_kb_per_s=1.0),
+                    SessionNotification("a", send.server, "share", 0.5),
+                ],
             )
         self.assertGreater(made.hint_trust.load_correction(server, 0.5, made.now), 0.0)
         made.handle(NOW, [SessionNotification("a", send.server, "share", 1.0)])
@@ -102,7 +106,7 @@
         for make in (
             lambda: ServerHint("s0", -1.0),
             lambda: ServerHint("s0", float("nan")),
-            lambda: PlayerHint("a", throughput_kb=float("inf")),
+            lambda: PlayerHint("a", throughput_kb_per_s=float("inf")),
             lambda: PlayerHint("a", buffer_s=-1),
         ):
             with self.assertRaises(ValueError):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -235,9 +235,9 @@
     def test_an_http_node_that_is_still_dialled_is_dialled_no_more(self) -> None:
         reactor, posted = MemoryReactorClock(), list[Any]()
         pool = MediaNodePool(reactor, {"n": "127.0.0.1:9"}, 5.0, posted.append, lambda node: 0)
-        pool.set_up("n", AttemptRequest("0" * 16, "clip", "t", 0, 900, b""))
+        pool.start_attempt("n", AttemptRequest("0" * 16, "clip", "t", 0, 900, b""))
         self.assertEqual(len(reactor.tcpClients), 1)
-        pool.give_up("n", "0" * 16)
+        pool.cancel_attempt("n", "0" * 16)
         self.assertTrue(reactor.connectors[0].stoppedConnecting)
         self.assertFalse(
             [each for each in posted if getattr(each, "ending", None) is TerminationReason.NO_ANSWER]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -392,33 +392,33 @@
         box = EffectQueue()
         early, later, timer = SendMessage("a", 1), SendMessage("a", 2), StartTimer("t", 5)
         self.assertEqual(
-            box.put([early, PersistRecord("k", b"1"), later, timer, Notify("x")]),
+            box.add([early, PersistRecord("k", b"1"), later, timer, Notify("x")]),
             [early, PersistRecord("k", b"1"), timer],
         )
         self.assertEqual(
-            box.put([SendMessage("b", 3), PersistRecord("k", b"2"), SendMessage("b", 4)]),
+            box.add([SendMessage("b", 3), PersistRecord("k", b"2"), SendMessage("b", 4)]),
             [PersistRecord("k", b"2")],
         )
-        self.assertEqual(box.lasts(1), [later, Notify("x"), SendMessage("b", 3)])
-        self.assertEqual(box.lasts(2), [SendMessage("b", 4)])
-        self.assertRaises(ValueError, box.lasts, 3)
+        self.assertEqual(box.commit(1), [later, Notify("x"), SendMessage("b", 3)])
+        self.assertEqual(box.commit(2), [SendMessage("b", 4)])
+        self.assertRaises(ValueError, box.commit, 3)
 
     def test_a_life_lasts_before_it_is_claimed(self) -> None:
         made, box = Members(), EffectQueue()
-        box.put(made.step(0, ProcessStarted({LIFE: b"6"}, 1)))
-        ready = box.put(made.step(0, CommandReceived(Begin("b", "h", ("s",)))))
+        box.add(made.step(0, ProcessStarted({LIFE: b"6"}, 1)))
+        ready = box.add(made.step(0, CommandReceived(Begin("b", "h", ("s",)))))
         self.assertFalse([each for each in ready if isinstance(each, SendMessage)])
         self.assertIn(PersistRecord(LIFE, b"7"), ready)
         self.assertEqual(
-            box.lasts(1)[-1], SendMessage("s", Sync([], answer=True), sure=True)
+            box.commit(1)[-1], SendMessage("s", Sync([], answer=True), reliable=True)
         )  # it learns before it claims
         made.step(1, WriteCommitted(1))
-        ready = box.put(made.step(2, MessageReceived("s", Sync([Record("b", 9, 5)]))))
+        ready = box.add(made.step(2, MessageReceived("s", Sync([Record("b", 9, 5)]))))
         self.assertEqual(
             [each for each in ready if isinstance(each, (SendMessage, PersistRecord))],
             [PersistRecord(LIFE, b"10")],
         )
-        told = [each.message for each in box.lasts(2) if isinstance(each, SendMessage)]
+        told = [each.message for each in box.commit(2) if isinstance(each, SendMessage)]
         self.assertEqual([(each.name, each.life) for each in told[0].records], [("b", 10)])
 
     def test_what_no_broker_would_send_is_refused_and_counted(self) -> None:
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -21,19 +21,19 @@
 @pytest.mark.parametrize(
     "change",
     [
-        {"classes": [ClassSettings("clip", SECOND, effect="keyed", group="zone")]},
-        {"classes": [ClassSettings("clip", SECOND, live=True)], "join": 0.2},
-        {"weights": "nominal"},
-        {"weights": "rough"},
-        {"weights": "live"},
-        {"racks": 1, "uplink_kb": 3000.0},
-        {"tell_us": 0, "seen_after_us": 0},
+        {"classes": [ClassSettings("clip", SECOND, retry_safety="keyed", retry_scope="zone")]},
+        {"classes": [ClassSettings("clip", SECOND, live=True)], "shared_stream_cost": 0.2},
+        {"weight_kind": "nominal"},
+        {"weight_kind": "rough"},
+        {"weight_kind": "live"},
+        {"racks": 1, "uplink_kb_per_s": 3000.0},
+        {"notification_interval_us": 0, "notification_delay_us": 0},
         {"positions": 1},
-        {"ladder_kb": (100.0,), "rung_worth": (1.0,)},
-        {"gateways": 1},
-        {"cold_us": 0},
+        {"ladder_kb_per_s": (100.0,), "rung_values": (1.0,)},
+        {"brokers": 1},
+        {"warm_up_us": 0},
         {"tenant_rates": {"t": 1.0}},
-        {"refuses_from": 1.0},
+        {"rejects_from_load": 1.0},
         {"max_attempts": 1},
     ],
 )
@@ -49,10 +49,10 @@
 
 
 def test_list_is_asked_for_and_asked_again_after_a_failure() -> None:
-    made = Controller(settings(must_subscribe=True), 1)
+    made = Controller(settings(subscription_required=True), 1)
     assert of(made.handle(0, [servers()]), Subscribe)
     timers = of(made.handle(SECOND, [ServerListUpdate(failed=True)]), StartTimer)
-    assert of(made.handle(2 * SECOND, [TimerFired(timers[0].token)]), Subscribe)
+    assert of(made.handle(2 * SECOND, [TimerFired(timers[0].timer_id)]), Subscribe)
     assert of(
         made.handle(NOW, [request("a", NOW)]), ForwardAttempt
     )  # the list held before the failure still stands
@@ -63,7 +63,7 @@
 ) -> None:
     monkeypatch.setattr(dispatcher, "MOST_OPEN", 1)
     for gap_ms in (0, 700):
-        told = Mock(open=True)
+        told = Mock(is_open=True)
         made = dispatcher.SessionDispatcher(
             Mock(handle=Mock(return_value=[])),
             Mock(),
@@ -73,19 +73,19 @@
             frozenset({"clip"}),
             gap_ms,
         )
-        made.post(SessionRequested(request("a"), viewer=Mock(open=True)))
+        made.post(SessionRequested(request("a"), viewer=Mock(is_open=True)))
         made.post(SessionRequested(request("b"), viewer=told))
         made.tick()
-        told.refused.assert_called_once_with("b", gap_ms)
+        told.rejected.assert_called_once_with("b", gap_ms)
     asked = [
-        dispatcher.stay_away_ms(settings(retry_after=after, max_retry_after_us=most))
+        dispatcher.stay_away_ms(settings(retry_after_allowed=after, max_retry_after_us=most))
         for after, most in ((False, 2 * SECOND), (True, SECOND // 2), (True, 5 * SECOND))
     ]
     assert asked == [0, 500, 1_000]
 
 
 def test_seats_are_given_back() -> None:
-    made = Controller(settings(classes=[ClassSettings("clip", SECOND, seats=1)]), 1)
+    made = Controller(settings(classes=[ClassSettings("clip", SECOND, title_session_limit=1)]), 1)
     made.handle(0, [ServerListUpdate([entry(0)], complete=True)])
     assert of(made.handle(NOW, [request("a", NOW, copies=1)]), ForwardAttempt)
     assert not of(made.handle(NOW, [request("b", NOW, copies=1)]), ForwardAttempt)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -76,8 +76,10 @@
         assert message is not None
         asked = rtsp.read_set_up(message, 1_000_000, TERMS)
         request = asked.request
-        self.assertEqual((request.session, request.cls, request.title), (ID, "paid", "7f3a9c21e0b4d655"))
-        self.assertEqual((request.home, request.copies, request.ceiling), (4, 3, 4))
+        self.assertEqual(
+            (request.session, request.session_class, request.title), (ID, "paid", "7f3a9c21e0b4d655")
+        )
+        self.assertEqual((request.home_position, request.copies, request.highest_rung), (4, 3, 4))
         self.assertEqual((request.deadline_us, request.length_us), (2_500_000, 8_200_000.0))
         self.assertTrue(request.returned)
         self.assertEqual(asked.description, b"abc")
@@ -309,16 +311,16 @@
                 return [RejectSession(event.session) for event in events if isinstance(event, SessionRequest)]
 
         class Asker:
-            open = True
+            is_open = True
 
-            def refused(self, session: str, gap_ms: int, why: str = "") -> None:
+            def rejected(self, session: str, gap_ms: int, why: str = "") -> None:
                 said.append(f"refused {session}")
 
             def failed(self, session: str, why: str = "") -> None:
                 said.append(f"failed {session}")
 
         class Broken:
-            open = True  # and no method of a viewer
+            is_open = True  # and no method of a viewer
 
         loop = SessionDispatcher(Module(), None, lambda: 0, lambda at: None, 10, frozenset({"clip"}))  # type: ignore[arg-type]
         with self.assertLogs("lotuspick.routing.dispatcher", "ERROR") as logged:
@@ -344,8 +346,8 @@
             1_000,
             frozenset({"clip"}),
         )
-        shared = [Mock(open=True, heard_us=1 + number) for number in range(3)]
-        crowd = [Mock(open=True, heard_us=0) for _ in range(40)]
+        shared = [Mock(is_open=True, last_message_us=1 + number) for number in range(3)]
+        crowd = [Mock(is_open=True, last_message_us=0) for _ in range(40)]
         for viewer in shared:
             made.post(ViewerConnectionOpened(viewer))
             for number in range(4):
@@ -369,7 +371,7 @@
         )  # it has asked, though nobody has looked yet
         self.assertEqual(made.spare(8), crowd[1:9])
         for number, viewer in enumerate(crowd):
-            viewer.heard_us = now[0] - number  # OPTIONS, and nothing more
+            viewer.last_message_us = now[0] - number  # OPTIONS, and nothing more
         self.assertEqual(
             made.spare(8), [], "nor are those closed that have just said something, whatever it was"
         )
@@ -403,17 +405,17 @@
             lambda: True,
             Mock(),
             64,
-            lambda most: [each for each in made.viewers if each.open][:most],
+            lambda most: [each for each in made.viewers if each.is_open][:most],
         )
         before = [come() for _ in range(64)]
         after = [come() for _ in range(3)]
-        closed = [each for each in before if not each.open]
+        closed = [each for each in before if not each.is_open]
         self.assertEqual(len(closed), 3, "three for the first, and none for those after it")
         self.assertTrue(all(each.transport.shut for each in closed), "their viewers hear of it at once")
         for each in closed:
             each.connectionLost(Failure(error.ConnectionAborted()))
         self.assertEqual(
-            (len(made.viewers), made.leaving, [each.open for each in after]), (64, set(), [True] * 3)
+            (len(made.viewers), made.leaving, [each.is_open for each in after]), (64, set(), [True] * 3)
         )
 
 
--- a/tests/test_plugin.py
+++ b/tests/test_plugin.py
@@ -23,7 +23,7 @@
     TerminationReason,
 )
 
-CLASSES = [ClassSettings("clip", SECOND), ClassSettings("exam", SECOND, effect="paid")]
+CLASSES = [ClassSettings("clip", SECOND), ClassSettings("exam", SECOND, retry_safety="paid")]
 
 
 class Library:
@@ -52,7 +52,7 @@
         self.now = 20 * SECOND
         self.library, self.answers = Library(), list[Answer]()
         self.plugin = Plugin(
-            settings(classes=CLASSES, retry_after=True, max_retry_after_us=SECOND),
+            settings(classes=CLASSES, retry_after_allowed=True, max_retry_after_us=SECOND),
             7,
             self.library,
             clock=lambda: self.now,
@@ -85,7 +85,7 @@
             (TerminationReason.RESET, [Failed("x1")]),
         ):
             session = "x0" if not answered else "x1"
-            self.ask(session, cls="exam")
+            self.ask(session, session_class="exam")
             self.run_for(SECOND // 10)
             server = self.library.did[-1][1]
             self.plugin.ended(server, session, ending)
@@ -97,7 +97,7 @@
     def test_a_step_that_comes_late_still_has_the_decisions_answer(self) -> None:
         self.plugin.servers(ServerListUpdate([], complete=True))
         for session, sent in (("held", False), ("sent", True)):
-            self.ask(session, cls="exam")
+            self.ask(session, session_class="exam")
             self.run_for(SECOND // 10)
             self.now += 20 * SECOND  # the process stood still past the deadline
             self.run_for(SECOND // 10)
@@ -106,7 +106,7 @@
             self.assertEqual(self.plugin.loop.table, {})
 
     def test_a_refusal_says_when_to_come_back(self) -> None:
-        self.ask("a", home=3, copies=1)
+        self.ask("a", home_position=3, copies=1)
         self.run_for(5 * SECOND)
         self.assertEqual(self.answers, [Refused("a", 1_000)])
 
@@ -125,7 +125,7 @@
     def test_nobody_answers_in_time(self) -> None:
         for queued in (True, False):
             self.library.queued = queued
-            self.ask(f"q{queued}", cls="exam", copies=1)
+            self.ask(f"q{queued}", session_class="exam", copies=1)
             self.run_for(6 * SECOND)
         # One that never left its queue may be refused; the other may have run.
         self.assertEqual([type(each) for each in self.answers], [Refused, Failed])
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -59,17 +59,17 @@
 
 def test_pools_do_not_bind_on_a_free_link() -> None:
     made = controller(loads=0.0)
-    made.handle(NOW, [request("long", NOW, length_us=300e6, ceiling=0)])
+    made.handle(NOW, [request("long", NOW, length_us=300e6, highest_rung=0)])
     # Almost all of the link belongs to the long pool, yet the short session takes the top fitting rung.
-    assert place(made, NOW, "short", length_us=1e6, ceiling=2) is not None
+    assert place(made, NOW, "short", length_us=1e6, highest_rung=2) is not None
     assert made.sessions["short"].rung == 2
 
 
 def test_short_session_is_kept_out_of_the_long_pool_on_a_busy_link() -> None:
     made = controller(loads=0.0)
-    made.handle(NOW, [request(f"long{n}", NOW, length_us=300e6, ceiling=0) for n in range(3)])
+    made.handle(NOW, [request(f"long{n}", NOW, length_us=300e6, highest_rung=0) for n in range(3)])
     fill(made, 0.82)
-    assert place(made, NOW, "short", length_us=1e6, ceiling=0) is None
+    assert place(made, NOW, "short", length_us=1e6, highest_rung=0) is None
     made.handle(NOW, [])
     fill(made, 0.70)
     assert made.sessions["short"].state == "sent"
@@ -77,7 +77,7 @@
 
 def test_draws_own_pool_first_then_downward() -> None:
     made = controller(count=1, loads=0.0)
-    made.handle(NOW, [request("l", NOW, length_us=160e6, ceiling=2, home=3, copies=1)])
+    made.handle(NOW, [request("l", NOW, length_us=160e6, highest_rung=2, home_position=3, copies=1)])
     session, server = made.sessions["l"], made.servers["s0"]
     rung, draws, _ = made._fit(session, server, [0.2, 0.2, 0.6], (0.0, 0.0)) or (0, [], 0)
     assert (rung, draws) == (2, pytest.approx([0, 0, LADDER[2]]))
@@ -110,7 +110,9 @@
     made = controller(count=1)
     assert place(made, NOW, "a", copies=1) is not None
     draws = list(made.sessions["a"].draws)
-    made.handle(NOW + 1, [request(f"x{n}", NOW, length_us=300e6, home=3, copies=1) for n in range(9)])
+    made.handle(
+        NOW + 1, [request(f"x{n}", NOW, length_us=300e6, home_position=3, copies=1) for n in range(9)]
+    )
     assert made.sessions["a"].draws == draws
 
 
@@ -128,7 +130,7 @@
     first: str, load: float, rung: int
 ) -> None:
     """On sockets half of the first notes come ahead of the answer: passed over, they leave full links full."""
-    made = controller(1, loads=None, change_cost_s=0.0)
+    made = controller(1, loads=None, rung_change_cost_s=0.0)
     made.handle(NOW, [SessionNotification("none", "s0", "link", 0.5)])
     at = NOW + 30 * SECOND  # heard so long ago that the rung is a guess
     assert place(made, at, "a", copies=1) == ("s0", 1)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -58,7 +58,7 @@
             ("settings", {**SETTINGS, "PeriodUs": "often"}),
             ("settings", {**SETTINGS, "GroupSize": 0}),
         ):
-            wanted = {"settings": "settings|PeriodUs|gateways", "limits": "sockets"}.get(key, key)
+            wanted = {"settings": "settings|PeriodUs|brokers", "limits": "sockets"}.get(key, key)
             with (
                 self.subTest(key=key, value=value),
                 self.assertRaisesRegex(configuration.ConfigError, wanted),
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -15,7 +15,7 @@
     names: dict = {}
     exec(example[1], names)
     assert "ForwardAttempt(session='s1', server='box-1:80'" in capsys.readouterr().out
-    assert names["gateway"].sessions["s1"].state == "playing"
+    assert names["broker"].sessions["s1"].state == "playing"
 
 
 def test_the_page_of_crossings_names_tests_that_are_there() -> None:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -111,7 +111,7 @@
     """Two items of one tick, in either order."""
 
     def setUp(self) -> None:
-        self.edges = Mock(set_up=Mock(return_value=None), give_up=Mock(return_value=False))
+        self.edges = Mock(start_attempt=Mock(return_value=None), cancel_attempt=Mock(return_value=False))
         self.told: list[Any] = []
         self.loop = SessionDispatcher(
             self, self.edges, lambda: 1_000, lambda at: None, 10, frozenset({"exam"})
@@ -128,12 +128,12 @@
         self.loop.tick()
 
     def test_an_answer_ahead_of_the_word_that_its_viewer_left_stands_for_nobody(self) -> None:
-        viewer = Mock(open=True)
-        self.play(SessionRequested(request("s", cls="exam"), viewer=viewer))
-        viewer.open = False
+        viewer = Mock(is_open=True)
+        self.play(SessionRequested(request("s", session_class="exam"), viewer=viewer))
+        viewer.is_open = False
         self.play(AttemptAnswered("e", "s", b""), ViewerConnectionClosed(viewer))
         viewer.served.assert_not_called()
-        self.edges.give_up.assert_called_once_with("e", "s")
+        self.edges.cancel_attempt.assert_called_once_with("e", "s")
         self.edges.release.assert_called_once_with("e", "s", TerminationReason.REVOKED)
         self.assertFalse([each for each in self.told if isinstance(each, SessionStarted)])
         self.assertEqual([each.session for each in self.told if isinstance(each, ViewerDisconnected)], ["s"])
@@ -146,10 +146,10 @@
             self.setUp()
             now = [1_000]
             self.loop.clock = lambda now=now: now[0]
-            first, second = Mock(open=True), Mock(open=True)
+            first, second = Mock(is_open=True), Mock(is_open=True)
             self.play(
-                SessionRequested(request("s", cls="exam"), viewer=first),
-                SessionRequested(request("s", cls="exam"), viewer=second),
+                SessionRequested(request("s", session_class="exam"), viewer=first),
+                SessionRequested(request("s", session_class="exam"), viewer=second),
             )
             now[0] += gap_us
             first.open = False
@@ -160,15 +160,15 @@
             self.assertEqual(self.loop.by_viewer, {})
 
     def test_what_becomes_of_a_copy_s_connection_costs_the_request_nothing(self) -> None:
-        first, second, third = (Mock(open=True) for _ in range(3))
+        first, second, third = (Mock(is_open=True) for _ in range(3))
         self.play(
             *(
-                SessionRequested(request("s", cls="exam"), viewer=each)
+                SessionRequested(request("s", session_class="exam"), viewer=each)
                 for each in (first, second, second, third)
             )
         )
-        second.abandon.assert_called_once()
-        first.abandon.assert_not_called()
+        second.close_with_error.assert_called_once()
+        first.close_with_error.assert_not_called()
         second.open = third.open = False
         self.play(
             ViewerConnectionClosed(second), ViewerConnectionClosed(third), AttemptAnswered("e", "s", b"one")
@@ -179,25 +179,28 @@
 
     def test_a_flood_of_copies_is_looked_at_until_its_connection_is_closed_and_no_further(self) -> None:
         """Each would cost a line: some hundred fill the pipe that they go to, and the whole broker waits for it."""
-        viewer = Mock(open=True)
-        viewer.abandon = Mock(side_effect=lambda why: setattr(viewer, "open", False))
+        viewer = Mock(is_open=True)
+        viewer.close_with_error = Mock(side_effect=lambda why: setattr(viewer, "is_open", False))
         self.play(
-            *(SessionRequested(request("s", cls="exam"), viewer=viewer) for _ in range(200)),
+            *(SessionRequested(request("s", session_class="exam"), viewer=viewer) for _ in range(200)),
             ViewerConnectionClosed(viewer),
         )
-        viewer.abandon.assert_called_once()
+        viewer.close_with_error.assert_called_once()
         viewer.failed.assert_not_called()
         self.assertEqual((self.loop.table, self.loop.by_viewer), ({}, {}))
 
     def test_a_request_and_the_word_that_its_viewer_left_in_one_look_send_nothing(self) -> None:
-        viewer = Mock(open=True)
-        self.play(SessionRequested(request("s", cls="exam"), viewer=viewer), ViewerConnectionClosed(viewer))
-        self.edges.set_up.assert_not_called()
+        viewer = Mock(is_open=True)
+        self.play(
+            SessionRequested(request("s", session_class="exam"), viewer=viewer),
+            ViewerConnectionClosed(viewer),
+        )
+        self.edges.start_attempt.assert_not_called()
         self.assertEqual((self.loop.table, self.loop.open_set_ups), ({}, 0))
 
     def test_a_second_answer_and_a_word_of_another_server_change_nothing(self) -> None:
-        viewer = Mock(open=True)
-        self.play(SessionRequested(request("s", cls="exam"), viewer=viewer))
+        viewer = Mock(is_open=True)
+        self.play(SessionRequested(request("s", session_class="exam"), viewer=viewer))
         self.play(
             EdgeServerReleased("other", "s", TerminationReason.EDGE_ERROR, TerminationReason.CUT),
             AttemptAnswered("e", "s", b"one"),
@@ -231,7 +234,9 @@
             made = Controller(
                 settings(
                     classes=[
-                        ClassSettings("clip", SECOND, effect=effect, group="zone", group_window_us=50_000)
+                        ClassSettings(
+                            "clip", SECOND, retry_safety=effect, retry_scope="zone", retry_window_us=50_000
+                        )
                     ]
                 ),
                 1,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -28,9 +28,9 @@
 NEVER_RAN = {"full", "unreachable", "unsent"}
 OUTCOMES = ["served", "error", "full", "timeout", "unreachable", "lost", "cancelled", "unsent"]
 CLASSES = [
-    ClassSettings("clip", SECOND, seats=3, floor=1),
-    ClassSettings("exam", 1_500_000, effect="paid"),
-    ClassSettings("key", SECOND, effect="keyed"),
+    ClassSettings("clip", SECOND, title_session_limit=3, lowest_rung=1),
+    ClassSettings("exam", 1_500_000, retry_safety="paid"),
+    ClassSettings("key", SECOND, retry_safety="keyed"),
 ]
 
 
@@ -61,19 +61,19 @@
 
     def check(self, action: object) -> None:
         if isinstance(action, StartTimer):
-            self.timers.append((self.now + action.delay_us, action.token))
+            self.timers.append((self.now + action.delay_us, action.timer_id))
         if isinstance(action, (RejectSession, FailSession, ForwardAttempt)):
             state = self.open[action.session]
             assert not state["answered"] and not state["gone"], "an action on a dead request"
             assert self.now < state["ask"].deadline_us
-            paid = state["ask"].cls != "clip"
+            paid = state["ask"].session_class != "clip"
             if isinstance(action, ForwardAttempt):
                 assert state["out"] is None, "two attempts out"
                 assert not (paid and state["ran"])
                 assert state["attempts"] < 4
                 assert action.server not in self.draining_at
                 position = int(action.server[1:])
-                assert (position - state["ask"].home) % 4 < state["ask"].copies
+                assert (position - state["ask"].home_position) % 4 < state["ask"].copies
                 assert 0 < action.timeout_us <= state["ask"].deadline_us - self.now
                 self.budget(state)
                 state["out"], state["last"] = action.server, action.server
@@ -84,10 +84,12 @@
                 state["answered"] = True
         if isinstance(action, SetRung):
             ask = self.open[action.session]["ask"]
-            floor = next(cls.floor for cls in CLASSES if cls.name == ask.cls)
-            assert floor <= action.rung <= max(floor, ask.ceiling)
+            floor = next(cls.lowest_rung for cls in CLASSES if cls.name == ask.session_class)
+            assert floor <= action.rung <= max(floor, ask.highest_rung)
         seats: Counter[str] = Counter(
-            state["ask"].title for state in self.open.values() if state["ask"].cls == "clip" and state["out"]
+            state["ask"].title
+            for state in self.open.values()
+            if state["ask"].session_class == "clip" and state["out"]
         )
         assert max(seats.values(), default=0) <= 3
 
@@ -106,7 +108,9 @@
 @profile(derandomize=True, max_examples=120, deadline=None)
 @given(st.data())
 def test_rules_hold_under_any_events(data: st.DataObject) -> None:
-    made = controller(classes=CLASSES, budget_free=2, budget_ratio=0.2, budget_window_us=5 * SECOND)
+    made = controller(
+        classes=CLASSES, retry_budget_floor=2, retry_budget_ratio=0.2, retry_budget_window_us=5 * SECOND
+    )
     world = Ledger(made)
     for number in range(data.draw(st.integers(5, 40))):
         then = world.now + data.draw(st.sampled_from([0, 10_000, 100_000, 700_000]))
@@ -126,11 +130,11 @@
             ask = request(
                 name,
                 world.now,
-                cls=data.draw(st.sampled_from(["clip", "exam", "key"])),
+                session_class=data.draw(st.sampled_from(["clip", "exam", "key"])),
                 title=data.draw(st.sampled_from("tu")),
-                home=data.draw(st.integers(0, 3)),
+                home_position=data.draw(st.integers(0, 3)),
                 copies=data.draw(st.integers(1, 4)),
-                ceiling=data.draw(st.integers(1, 3)),
+                highest_rung=data.draw(st.integers(1, 3)),
                 deadline_us=world.now + data.draw(st.sampled_from([50_000, SECOND, 4 * SECOND])),
                 length_us=data.draw(st.sampled_from([None, 10e6, 100e6, 300e6])),
             )
@@ -161,7 +165,7 @@
                         state["out"],
                         outcome,
                         final=outcome == "served" or state["answered"] or state["gone"],
-                        alive=data.draw(st.booleans()),
+                        server_alive=data.draw(st.booleans()),
                     )
                 )
         elif kind == "gone" and pending:
@@ -189,14 +193,14 @@
 
 def test_paid_session_is_failed_not_refused_once_it_may_have_run() -> None:
     made = controller()
-    server, _ = place(made, NOW, "p", cls="exam") or ("", 0)
+    server, _ = place(made, NOW, "p", session_class="exam") or ("", 0)
     actions = made.handle(NOW + 1, [AttemptEnded("p", 0, server, "timeout")])
     assert of(actions, FailSession) and not of(actions, ForwardAttempt) and not of(actions, RejectSession)
 
 
 def test_paid_session_is_sent_again_when_it_provably_never_ran() -> None:
     made = controller()
-    server, _ = place(made, NOW, "p", cls="exam") or ("", 0)
+    server, _ = place(made, NOW, "p", session_class="exam") or ("", 0)
     sends = of(made.handle(NOW + 1, [AttemptEnded("p", 0, server, "unreachable")]), ForwardAttempt)
     assert sends and sends[0].server != server
 
@@ -213,12 +217,12 @@
 def test_server_missing_from_a_complete_list_is_gone() -> None:
     made = controller(count=2)
     made.handle(NOW, [servers(1)])
-    assert place(made, NOW, "a", home=1, copies=1) is None
+    assert place(made, NOW, "a", home_position=1, copies=1) is None
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 9])
 def test_cold_server_gets_this_gateways_part_in_any_window(gateways: int) -> None:
-    made = controller(count=1, gateways=gateways, link_kb_per_weight=1e6, places_by_kind={"box": 60})
+    made = controller(count=1, brokers=gateways, link_kb_per_weight=1e6, stream_limit_by_kind={"box": 60})
     made.handle(NOW, [ServerListUpdate([entry(0, started_us=NOW)])])
     sent, now = [], NOW
     for number in range(790):
@@ -241,7 +245,7 @@
     sends: list[int] = []
     budget = 30 / (8 * SECOND) * 0.5 * 2.5 * 1_500_000  # for any window, at the capacity of its start
     for number in range(gateways):
-        made = Controller(settings(gateways=gateways, link_kb_per_weight=1e6), seed * 1000 + number)
+        made = Controller(settings(brokers=gateways, link_kb_per_weight=1e6), seed * 1000 + number)
         made.handle(0, [servers(1)])
         if how == "told":
             made.handle(NOW, [ServerListUpdate([entry(0, started_us=NOW)])])
@@ -260,7 +264,7 @@
 
 
 def test_failure_witnessed_is_a_start_expected() -> None:
-    made = controller(count=1, link_kb_per_weight=1e6, gateways=3)
+    made = controller(count=1, link_kb_per_weight=1e6, brokers=3)
     place(made, NOW, "a", copies=1)
     made.handle(NOW, [SessionStarted("a", 0, "s0")])
     made.handle(NOW + 1, [AttemptEnded("a", 0, "s0", "lost", final=True)])
@@ -270,7 +274,7 @@
 
 
 def test_sessions_at_the_start_take_seats() -> None:
-    made = controller(count=1, classes=[ClassSettings("clip", SECOND, seats=1)])
+    made = controller(count=1, classes=[ClassSettings("clip", SECOND, title_session_limit=1)])
     base = request("old", NOW)
     made.handle(
         NOW,
@@ -280,11 +284,11 @@
                     name: getattr(base, name)
                     for name in (
                         "session",
-                        "cls",
+                        "session_class",
                         "title",
-                        "home",
+                        "home_position",
                         "copies",
-                        "ceiling",
+                        "highest_rung",
                         "deadline_us",
                         "length_us",
                     )
@@ -302,8 +306,10 @@
     made = controller(loads=1.5)
     actions = made.handle(NOW, [request("a", NOW)])
     assert not of(actions, RejectSession)
-    due = min(timer.delay_us for timer in of(actions, StartTimer) if timer.token)
-    token = next(timer.token for timer in of(actions, StartTimer) if timer.delay_us == due and timer.token)
+    due = min(timer.delay_us for timer in of(actions, StartTimer) if timer.timer_id)
+    token = next(
+        timer.timer_id for timer in of(actions, StartTimer) if timer.delay_us == due and timer.timer_id
+    )
     assert due <= SECOND
     assert of(made.handle(NOW + due, [TimerFired(token)]), RejectSession)
 
@@ -311,7 +317,7 @@
 def test_unknown_class_is_refused_before_anything_is_applied() -> None:
     made = controller()
     with pytest.raises(ValueError, match="nosuch"):
-        made.handle(NOW, [request("a", NOW), request("b", NOW, cls="nosuch")])
+        made.handle(NOW, [request("a", NOW), request("b", NOW, session_class="nosuch")])
     assert not made.sessions
 
 
@@ -326,10 +332,10 @@
 @pytest.mark.parametrize(
     "change",
     [
-        {"gateways": 0},
+        {"brokers": 0},
         {"positions": None},
         {"classes": []},
-        {"ladder_kb": (2.0, 1.0)},
+        {"ladder_kb_per_s": (2.0, 1.0)},
         {"zone": ""},
         {"link_kb_per_weight": -1},
     ],
@@ -343,7 +349,7 @@
     made = controller()
     used = defaultdict(int)
     for n in range(12):
-        placed = place(made, NOW, f"r{n}", ceiling=0)
+        placed = place(made, NOW, f"r{n}", highest_rung=0)
         if placed:
             used[placed[0]] += 1
     assert len(used) == 4
--- a/tests/test_seam.py
+++ b/tests/test_seam.py
@@ -24,28 +24,28 @@
     st.dictionaries(NAMES, st.sampled_from([0.1, 0.25, 0.5])),
     st.sampled_from(["", "", "budget", "part"]),
     st.integers(0, 5),
-).map(lambda each: each if each.reason else PlacementConstraint(each.servers, each.top, each.costs))
+).map(lambda each: each if each.reason else PlacementConstraint(each.servers, each.highest_rung, each.costs))
 
 
 class Scripted:
     """A guide that says what the test wants and keeps what it is told."""
 
-    wait_us = 0
+    max_wait_us = 0
 
     def __init__(self, *answers: PlacementConstraint) -> None:
         self.answers, self.asked, self.heard = list(answers), 0, list[Any]()
 
-    def bounds(self, now: int, request: Any) -> PlacementConstraint:
+    def constraint_for(self, now: int, request: Any) -> PlacementConstraint:
         self.asked += 1
         return self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
 
-    def told(self, now: int, fact: Any) -> None:
+    def on_event(self, now: int, fact: Any) -> None:
         self.heard.append(type(fact).__name__)
 
 
 def guided(*answers: PlacementConstraint, **changes: Any) -> tuple[Controller, Scripted]:
     guide = Scripted(*answers)
-    made = Controller(settings(retry_after=True, max_retry_after_us=9 * SECOND, **changes), 7, guide)
+    made = Controller(settings(retry_after_allowed=True, max_retry_after_us=9 * SECOND, **changes), 7, guide)
     made.handle(0, [servers()])
     return made, guide
 
@@ -55,14 +55,16 @@
     def test_order_does_not_matter_and_nothing_widens(
         self, one: PlacementConstraint, two: PlacementConstraint, three: PlacementConstraint
     ) -> None:
-        both = one.meet(two)
-        self.assertEqual(both, two.meet(one))
-        self.assertEqual(both.meet(three), one.meet(two.meet(three)))
-        self.assertEqual(one.meet(one), one)
-        self.assertEqual(one.meet(UNCONSTRAINED), one)
+        both = one.intersect(two)
+        self.assertEqual(both, two.intersect(one))
+        self.assertEqual(both.intersect(three), one.intersect(two.intersect(three)))
+        self.assertEqual(one.intersect(one), one)
+        self.assertEqual(one.intersect(UNCONSTRAINED), one)
         for each in (one, two):
-            self.assertLessEqual(both.top, each.top)
-            self.assertTrue(bool(both.reason) >= bool(each.reason) and both.gap_us >= each.gap_us)
+            self.assertLessEqual(both.highest_rung, each.highest_rung)
+            self.assertTrue(
+                bool(both.reason) >= bool(each.reason) and both.retry_after_us >= each.retry_after_us
+            )
             for name in ("s0", "s1", "s2", "s3"):
                 self.assertLessEqual(both.admits(name), each.admits(name))
                 self.assertGreaterEqual(both.costs.get(name, 0.0), each.costs.get(name, 0.0))
@@ -88,25 +90,26 @@
 
     def test_the_facts_may_change_between_attempts(self) -> None:
         made, guide = guided(
-            PlacementConstraint(frozenset({"s1"})), PlacementConstraint(reason="moved-on", gap_us=3 * SECOND)
+            PlacementConstraint(frozenset({"s1"})),
+            PlacementConstraint(reason="moved-on", retry_after_us=3 * SECOND),
         )
         self.assertEqual(
-            of(made.handle(NOW, [request("a", NOW, cls="exam")]), ForwardAttempt)[0].server, "s1"
+            of(made.handle(NOW, [request("a", NOW, session_class="exam")]), ForwardAttempt)[0].server, "s1"
         )
         refusal = of(made.handle(NOW, [AttemptEnded("a", 0, "s1", "full")]), RejectSession)
         self.assertEqual(refusal, [RejectSession("a", 3 * SECOND, "moved-on")])
         self.assertEqual(guide.heard[-1], "RejectSession")
 
     def test_a_paid_attempt_that_may_have_run_is_never_turned_away(self) -> None:
-        made, guide = guided(UNCONSTRAINED, PlacementConstraint(reason="budget", gap_us=SECOND))
-        server = of(made.handle(NOW, [request("a", NOW, cls="exam")]), ForwardAttempt)[0].server
+        made, guide = guided(UNCONSTRAINED, PlacementConstraint(reason="budget", retry_after_us=SECOND))
+        server = of(made.handle(NOW, [request("a", NOW, session_class="exam")]), ForwardAttempt)[0].server
         self.assertEqual(
             of(made.handle(NOW, [AttemptEnded("a", 0, server, "lost")]), FailSession), [FailSession("a")]
         )
         self.assertEqual(guide.asked, 1)
 
     def test_a_refusal_is_at_once_and_no_longer_than_viewers_honour(self) -> None:
-        made, _ = guided(PlacementConstraint(reason="part", gap_us=60 * SECOND))
+        made, _ = guided(PlacementConstraint(reason="part", retry_after_us=60 * SECOND))
         self.assertEqual(
             of(made.handle(NOW, [request("a", NOW)]), RejectSession), [RejectSession("a", 9 * SECOND, "part")]
         )
@@ -114,8 +117,8 @@
 
     def test_a_top_below_the_floor_counts_as_the_floor(self) -> None:
         made, _ = guided(
-            PlacementConstraint(top=0),
-            classes=[ClassSettings("clip", SECOND, floor=2)],
+            PlacementConstraint(highest_rung=0),
+            classes=[ClassSettings("clip", SECOND, lowest_rung=2)],
             link_kb_per_weight=9_000.0,
         )
         self.assertEqual(of(made.handle(NOW, [request("a", NOW)]), SetRung)[0].rung, 2)
--- a/tests/test_seats_guide.py
+++ b/tests/test_seats_guide.py
@@ -62,9 +62,9 @@
     def begin(self, ledger: Ledger) -> None:
         rules = Rules(frozenset({"exam"}))
         self.guide = SeatConstraints(rules, checker(), ledger, self.disk, lambda: self.wall)
-        classes = [ClassSettings("clip", SECOND), ClassSettings("exam", SECOND, effect="paid")]
+        classes = [ClassSettings("clip", SECOND), ClassSettings("exam", SECOND, retry_safety="paid")]
         self.core = Controller(
-            settings(classes=classes, retry_after=True, max_retry_after_us=9 * SECOND), 7, self.guide
+            settings(classes=classes, retry_after_allowed=True, max_retry_after_us=9 * SECOND), 7, self.guide
         )
         self.core.handle(0, [servers()])
 
@@ -82,7 +82,13 @@
         return self.core.handle(self.now, list(events))
 
     def ask(self, session: str, write: bool = True, **changes: Any) -> list[Any]:
-        fields = {"token": self.token(), "viewer": "v1", "title": "algebra-1", "cls": "exam", **changes}
+        fields = {
+            "token": self.token(),
+            "viewer": "v1",
+            "title": "algebra-1",
+            "session_class": "exam",
+            **changes,
+        }
         actions = self.tell(request(session, self.now, **fields))
         if write and not of(actions, RejectSession):
             self.disk.work()
@@ -149,11 +155,11 @@
 
     def test_an_attempt_that_never_ran_leaves_the_seat_to_the_next(self) -> None:
         for home, outcome in enumerate(("full", "unreachable")):
-            [sent] = of(self.ask(outcome, copies=1, home=home), ForwardAttempt)
+            [sent] = of(self.ask(outcome, copies=1, home_position=home), ForwardAttempt)
             self.tell(AttemptEnded(outcome, 0, sent.server, outcome))
             self.tell(ViewerDisconnected(outcome))
             self.assertIs(self.guide.ledger.records["A"].state, State.FREE)
-        [sent] = of(self.ask("c", home=2), ForwardAttempt)
+        [sent] = of(self.ask("c", home_position=2), ForwardAttempt)
         self.tell(ViewerDisconnected("c"), AttemptEnded("c", 0, sent.server, "cancelled", True))
         self.assertIs(self.guide.ledger.records["A"].state, State.DOUBT)
         self.assertEqual(self.guide.held, {})
@@ -213,7 +219,9 @@
 
     def test_a_thousand_tokens_for_one_seat_at_once(self) -> None:
         asked = [
-            request(f"q{at}", self.now, token=self.token(), viewer="v1", title="algebra-1", cls="exam")
+            request(
+                f"q{at}", self.now, token=self.token(), viewer="v1", title="algebra-1", session_class="exam"
+            )
             for at in range(1_000)
         ]
         self.tell(*asked)
@@ -249,12 +257,16 @@
 
     def test_bounds_that_wait_give_way_to_those_that_turn_away(self) -> None:
         wait, away = (
-            PlacementConstraint(not_yet="seat-store", gap_us=5),
-            PlacementConstraint(reason="budget", gap_us=1),
+            PlacementConstraint(pending_reason="seat-store", retry_after_us=5),
+            PlacementConstraint(reason="budget", retry_after_us=1),
         )
-        self.assertEqual(wait.meet(away), away.meet(wait))
+        self.assertEqual(wait.intersect(away), away.intersect(wait))
         self.assertEqual(
-            (wait.meet(away).why, wait.meet(away).gap_us, wait.meet(PlacementConstraint()).admits("s0")),
+            (
+                wait.intersect(away).rejection_reason,
+                wait.intersect(away).retry_after_us,
+                wait.intersect(PlacementConstraint()).admits("s0"),
+            ),
             ("budget", 1, False),
         )
 
--- a/tests/test_seats_live.py
+++ b/tests/test_seats_live.py
@@ -365,7 +365,7 @@
                 self.fail(f"{library.did} {answers} {heard}")
 
             for session, fields in (("x", {}), ("a", {"token": token()})):
-                ask = request(session, now[0], cls="exam", title="algebra", viewer="v1", **fields)
+                ask = request(session, now[0], session_class="exam", title="algebra", viewer="v1", **fields)
                 plugin.ask(ask, answers.append, b"call")
             until(lambda: len(library.did) == 1)
             self.assertEqual((library.did[0][2], answers), ("a", [Refused("x", 0, "token-missing")]))
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -27,60 +27,64 @@
 SITES = {
     "campus": Settings(
         zone="a",
-        gateways=40,
+        brokers=40,
         classes=[
             ClassSettings("clip", SECOND),
-            ClassSettings("exam", SECOND, effect="paid", worth=3.0, floor=1),
+            ClassSettings("exam", SECOND, retry_safety="paid", priority_weight=3.0, lowest_rung=1),
         ],
-        ladder_kb=(100.0, 200.0, 400.0),
-        rung_worth=(0.3, 0.6, 1.0),
-        places_by_kind={"box": 30},
+        ladder_kb_per_s=(100.0, 200.0, 400.0),
+        rung_values=(0.3, 0.6, 1.0),
+        stream_limit_by_kind={"box": 30},
         positions=4,
         link_kb_per_weight=4_000.0,
-        tell_us=3 * SECOND,
-        seen_after_us=500_000,
+        notification_interval_us=3 * SECOND,
+        notification_delay_us=500_000,
         max_attempts=3,
-        retry_after=True,
+        retry_after_allowed=True,
         max_retry_after_us=2 * SECOND,
-        cold_us=8 * SECOND,
-        cold_from=0.5,
-        fall_multiple=2.5,
+        warm_up_us=8 * SECOND,
+        slow_start_fraction=0.5,
+        overload_factor=2.5,
         tenant_rates={"law": 2.0},
     ),
     "halls": Settings(
         zone="b",
-        gateways=3,
-        classes=[ClassSettings("seated", SECOND // 3, effect="paid", worth=4.0, seats=2)],
-        ladder_kb=(50.0, 300.0),
-        rung_worth=(0.2, 1.0),
-        places_by_kind={"box": 6},
+        brokers=3,
+        classes=[
+            ClassSettings(
+                "seated", SECOND // 3, retry_safety="paid", priority_weight=4.0, title_session_limit=2
+            )
+        ],
+        ladder_kb_per_s=(50.0, 300.0),
+        rung_values=(0.2, 1.0),
+        stream_limit_by_kind={"box": 6},
         positions=4,
         racks=2,
-        uplink_kb=900.0,
+        uplink_kb_per_s=900.0,
         link_kb_per_weight=700.0,
-        tell_us=9 * SECOND,
-        seen_after_us=1_300_000,
+        notification_interval_us=9 * SECOND,
+        notification_delay_us=1_300_000,
         max_attempts=2,
         cross_zone_price=0.2,
-        budget_free=1.0,
-        budget_ratio=0.1,
-        budget_window_us=5 * SECOND,
+        retry_budget_floor=1.0,
+        retry_budget_ratio=0.1,
+        retry_budget_window_us=5 * SECOND,
     ),
     "tours": Settings(
         zone="a",
-        gateways=200,
+        brokers=200,
         classes=[
-            ClassSettings("clip", 2 * SECOND, worth=9.0, scale=1.5),
+            ClassSettings("clip", 2 * SECOND, priority_weight=9.0, bitrate_scale=1.5),
             ClassSettings("walk", SECOND),
-            ClassSettings("talk", SECOND, effect="keyed", group="zone"),
+            ClassSettings("talk", SECOND, retry_safety="keyed", retry_scope="zone"),
         ],
-        ladder_kb=(80.0, 160.0, 320.0, 640.0),
-        rung_worth=(0.1, 0.4, 0.8, 1.0),
-        places_by_kind={"box": 60},
+        ladder_kb_per_s=(80.0, 160.0, 320.0, 640.0),
+        rung_values=(0.1, 0.4, 0.8, 1.0),
+        stream_limit_by_kind={"box": 60},
         positions=4,
         link_kb_per_weight=9_000.0,
         max_attempts=4,
-        reports=True,
+        inline_load_reports=True,
     ),
 }
 
@@ -119,7 +123,7 @@
                         )
                     )
             elif type(action).__name__ == "SetTimer":
-                self.waiting.append((self.now + action.delay_us, TimerFired(action.token)))
+                self.waiting.append((self.now + action.delay_us, TimerFired(action.timer_id)))
 
     def step(self) -> None:
         self.now += self.draw.randrange(5_000, 120_000)
@@ -136,7 +140,7 @@
                     f"t{self.draw.randrange(3)}",
                     self.draw.randrange(4),
                     self.draw.randrange(1, 5),
-                    len(self.settings.ladder_kb) - 1,
+                    len(self.settings.ladder_kb_per_s) - 1,
                     self.now + self.draw.randrange(SECOND // 2, 5 * SECOND),
                     30e6,
                     tenant=self.draw.choice(["law", "arts", ""]),
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -63,7 +63,7 @@
         match event:
             case ProcessStarted():
                 return [StartTimer("t", 5 * SECOND), StartTimer("t", 2 * SECOND)]
-            case CommandReceived(what="promise"):
+            case CommandReceived(command="promise"):
                 self.asked += 1
                 number = self.asked
                 return [
@@ -72,7 +72,7 @@
                     SendMessage("other", number),
                     Notify(f"after {number}"),
                 ]
-            case CommandReceived(what="two"):
+            case CommandReceived(command="two"):
                 return [PersistRecord("a", b"1"), Notify("one"), PersistRecord("b", b"2"), Notify("two")]
             case TimerFired():
                 return [Notify("fired")]
@@ -158,7 +158,11 @@
 
 def words(out: Sequence[Any]) -> list[Any]:
     return [
-        each.message if isinstance(each, SendMessage) else each.news if isinstance(each, Notify) else each
+        each.message
+        if isinstance(each, SendMessage)
+        else each.notification
+        if isinstance(each, Notify)
+        else each
         for each in out
     ]
 
@@ -182,7 +186,11 @@
                 )
                 self.assertEqual([each for each in words(made.out) if isinstance(each, int)], [1, 2])
                 self.assertEqual(
-                    [event.write for _, event in made.machine.seen if isinstance(event, WriteCommitted)],
+                    [
+                        event.write_number
+                        for _, event in made.machine.seen
+                        if isinstance(event, WriteCommitted)
+                    ],
                     [1, 2],
                 )
 
--- a/tests/test_turnover.py
+++ b/tests/test_turnover.py
@@ -58,14 +58,14 @@
         self.troubled = troubled
         self.draw, self.now_us, self.wake_us = random.Random(7), 20 * SECOND, 0
         self.sent: list[tuple[str, str]] = []
-        edges = Mock(set_up=self.set_up, give_up=lambda edge, session: False)
+        edges = Mock(start_attempt=self.set_up, cancel_attempt=lambda edge, session: False)
         self.core = Controller(
             settings(
                 positions=NODES,
-                budget_free=1.0,
-                budget_ratio=0.1,
-                budget_window_us=10 * SECOND,
-                retry_after=True,
+                retry_budget_floor=1.0,
+                retry_budget_ratio=0.1,
+                retry_budget_window_us=10 * SECOND,
+                retry_after_allowed=True,
                 max_retry_after_us=2 * SECOND,
             ),
             7,
@@ -99,7 +99,7 @@
     def step(self) -> None:
         """A crowd of viewers, then quiet."""
         began_us, draw, loop = self.now_us, self.draw, self.loop
-        viewer = Mock(open=True)
+        viewer = Mock(is_open=True)
         loop.post(ViewerConnectionOpened(viewer))
         for _ in range(12):
             self.made += 1
@@ -108,10 +108,10 @@
                     request(
                         f"q{self.made}",
                         self.now_us,
-                        cls=draw.choice(["clip", "exam"]),
+                        session_class=draw.choice(["clip", "exam"]),
                         title=f"title{self.made}",
                         viewer=f"v{self.made}",
-                        home=draw.randrange(NODES),
+                        home_position=draw.randrange(NODES),
                         copies=3,
                         tenant=f"t{draw.randrange(3)}",
                         length_us=draw.choice([None, 30e6, 100e6]),
@@ -141,7 +141,7 @@
             self.nodes[at] += 1
             loop.post(EndpointListChanged(ServerListUpdate([gone, self.node(at, started_us=self.now_us)])))
         loop.post(ViewerConnectionClosed(viewer))
-        viewer.open = False
+        viewer.is_open = False
         for session, standing in list(loop.table.items()):  # nothing plays for longer
             if standing.stands:
                 loop.post(
