--- a/lotuspick/core/controller.py
+++ b/lotuspick/core/controller.py
@@ -51,7 +51,7 @@
 from lotuspick.core.hint_trust import HintTrust
 from lotuspick.core.length_popularity import LengthPopularity, length_pool
 from lotuspick.core.load_estimation import LinkLoad, LoadAverage, UplinkLoad
-from lotuspick.core.settings import ClassSettings, Settings
+from lotuspick.core.settings import ClassSettings, RetrySafety, Settings
 from lotuspick.core.state import ServerState, SessionState
 from lotuspick.core.validation import is_not_negative, is_positive
 
@@ -277,7 +277,7 @@
         session.state, session.server = "held", None
         session.may_have_run |= event.outcome not in PROVES_NOT_EXECUTED
         last = session.ask.deadline_us - tuning.LEAD_US
-        if session.may_have_run and session.cls.retry_safety != "safe":
+        if session.may_have_run and session.cls.retry_safety is not RetrySafety.IDEMPOTENT:
             self._finish(session, FailSession(event.session))
         elif session.attempt + 1 >= self.settings.max_attempts or self.now >= last:
             self._refuse(session)
@@ -692,7 +692,10 @@
         self._book(session, self.settings.ladder_kb_per_s[rung] * session.cls.bitrate_scale, draws)
         self._take_seat(session, 1)
         wait = left - tuning.LEAD_US // 2
-        if session.cls.retry_safety == "safe" and session.attempt + 1 < self.settings.max_attempts:
+        if (
+            session.cls.retry_safety is RetrySafety.IDEMPOTENT
+            and session.attempt + 1 < self.settings.max_attempts
+        ):
             wait = min(wait, max(tuning.WAIT_MIN_US, int(self.setup_us + 4 * self.setup_dev)))
         self.out.append(SetRung(name, rung))
         self._answer(ForwardAttempt(name, server.entry.server, wait))
--- a/lotuspick/core/events.py
+++ b/lotuspick/core/events.py
@@ -8,6 +8,7 @@
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 from lotuspick.core.validation import require_not_negative, require_positive
 
@@ -93,15 +94,27 @@
     duration_us: int = 0
 
 
+class AttemptOutcome(StrEnum):
+    """How an attempt ended, as the decisions tell ends apart; :data:`PROVES_NOT_EXECUTED` names those that ran nothing."""
+
+    SERVED = "served"
+    ERROR = "error"
+    FULL = "full"
+    TIMEOUT = "timeout"
+    UNREACHABLE = "unreachable"
+    LOST = "lost"
+    CANCELLED = "cancelled"
+    UNSENT = "unsent"
+
+
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How an attempt ended. ``outcome`` is one of ``served``, ``error``, ``full``, ``timeout``,
-    ``unreachable``, ``lost``, ``cancelled``, ``unsent``."""
+    """How an attempt ended."""
 
     session: str
     attempt: int
     server: str
-    outcome: str
+    outcome: AttemptOutcome
     final: bool = False
     """Nothing more is owed for the session."""
     duration_us: int = 0
@@ -113,7 +126,7 @@
     """Its viewer ended a session that stood."""
 
 
-PROVES_NOT_EXECUTED = frozenset({"unreachable", "full", "unsent"})
+PROVES_NOT_EXECUTED = frozenset({AttemptOutcome.UNREACHABLE, AttemptOutcome.FULL, AttemptOutcome.UNSENT})
 """Outcomes that prove that nothing of the attempt ran."""
 
 
--- a/lotuspick/core/settings.py
+++ b/lotuspick/core/settings.py
@@ -9,6 +9,7 @@
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import TYPE_CHECKING, Any
 
 from lotuspick.core.validation import require_not_negative, require_positive
@@ -20,6 +21,17 @@
 _REQUIRED: Any = None
 
 
+class RetrySafety(StrEnum):
+    """Whether a session of a class may be set up again after an attempt that may have run."""
+
+    IDEMPOTENT = "safe"
+    """Free to repeat."""
+    NOT_IDEMPOTENT = "paid"
+    """Set up at most once."""
+    KEYED = "keyed"
+    """Repeats carry an idempotency key and are allowed inside ``retry_scope`` only."""
+
+
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
     """One class of session."""
@@ -27,7 +39,7 @@
     name: str
     latency_objective_us: int
     """A set-up is wanted within this time."""
-    retry_safety: str = "safe"
+    retry_safety: RetrySafety = RetrySafety.IDEMPOTENT
     """``safe``: free to repeat. ``paid``: set up once. ``keyed``: repeats only inside ``group``."""
     priority_weight: float = 1.0
     """Worth of one second at a rung of worth 1."""
@@ -59,7 +71,7 @@
             title_session_limit=self.title_session_limit,
             retry_window_us=self.retry_window_us,
         )
-        if self.retry_safety not in ("safe", "paid", "keyed"):
+        if self.retry_safety not in tuple(RetrySafety):
             raise ValueError(f"{owner}.retry_safety must be safe, paid or keyed, not {self.retry_safety!r}")
         if self.retry_scope not in ("all", "zone", "position"):
             raise ValueError(f"{owner}.retry_scope must be all, zone or position, not {self.retry_scope!r}")
--- a/lotuspick/lab/emulator/spec.py
+++ b/lotuspick/lab/emulator/spec.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from lotuspick.core.settings import ClassSettings, Settings
+from lotuspick.core.settings import ClassSettings, RetrySafety, Settings
 
 SECOND = 1_000_000
 ZONES = ("norte", "sur", "central")
@@ -107,7 +107,7 @@
                 ClassSettings(
                     "asistencia",
                     800_000,
-                    retry_safety="paid",
+                    retry_safety=RetrySafety.NOT_IDEMPOTENT,
                     priority_weight=2.0,
                     bitrate_scale=1.4,
                     lowest_rung=1,
--- a/lotuspick/lab/emulator/world.py
+++ b/lotuspick/lab/emulator/world.py
@@ -131,8 +131,8 @@
                     EdgeServerReleased(
                         self.name,
                         ask.session,
-                        TerminationReason.TURNED_AWAY,
-                        TerminationReason.CUT,
+                        TerminationReason.REJECTED_BY_SERVER,
+                        TerminationReason.INTERRUPTED,
                         {"link": self.load},
                     ),
                 ),
@@ -183,7 +183,7 @@
         for session, (broker, life) in self.coming.items():
             broker.hear(life, AttemptTerminated(self.name, session, TerminationReason.RESET), HOP_US)
         for broker, life in sorted(brokers, key=lambda each: each[0].index):
-            broker.hear(life, EdgeServerFailed(self.name, TerminationReason.DOWN), 40_000)
+            broker.hear(life, EdgeServerFailed(self.name, TerminationReason.SERVER_DOWN), 40_000)
         for stream in self.streams.values():
             stream.viewer.cause = "node died"
         self.streams, self.coming = {}, {}
--- a/lotuspick/lab/experiment/cost.py
+++ b/lotuspick/lab/experiment/cost.py
@@ -17,6 +17,7 @@
 from lotuspick.core.controller import Controller
 from lotuspick.core.events import (
     AttemptEnded,
+    AttemptOutcome,
     Event,
     ServerEntry,
     ServerListUpdate,
@@ -71,7 +72,7 @@
                 self.after(now + 90_000, SessionNotification(name, server, "link", 0.5))
                 self.after(
                     now + self.lengths[name],
-                    AttemptEnded(name, 0, server, "served", True, load_report={"link": 0.5}),
+                    AttemptEnded(name, 0, server, AttemptOutcome.SERVED, True, load_report={"link": 0.5}),
                 )
             case RejectSession() | FailSession():
                 self.answers += 1
--- a/lotuspick/plugin.py
+++ b/lotuspick/plugin.py
@@ -85,7 +85,7 @@
     """A session that stood is over."""
 
     session: str
-    ending: TerminationReason
+    reason: TerminationReason
 
 
 Answer = Served | Refused | Failed | Released
@@ -253,7 +253,7 @@
     def close(self) -> None:
         """Release what stands, and let ``run`` return."""
         with self._changed:
-            self.loop.end()
+            self.loop.release_all()
             self._closed = True
             self._changed.notify_all()
 
--- a/lotuspick/program/configuration.py
+++ b/lotuspick/program/configuration.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from lotuspick.core.settings import Settings
+from lotuspick.core.settings import RetrySafety, Settings
 from lotuspick.protocol import endpoint_events
 from lotuspick.protocol.errors import ProtocolError
 from lotuspick.protocol.site_settings import WireError, read_settings, whole
@@ -284,7 +284,7 @@
             return None
         from lotuspick.entitlement.constraints import Rules
 
-        paid = {each.name for each in settings.classes if each.retry_safety == "paid"}
+        paid = {each.name for each in settings.classes if each.retry_safety is RetrySafety.NOT_IDEMPOTENT}
         classes = _get(told, "classes", list, sorted(paid))
         for name in classes:
             if name not in paid:
--- a/lotuspick/program/daemon.py
+++ b/lotuspick/program/daemon.py
@@ -64,7 +64,13 @@
             self.module, edges, now_us, self._wake, config.period_us, classes, stay_away_ms(config.settings)
         )
         self.front = RtspServer(
-            reactor, self.post, self.ready, self.terms, config.sockets // 2, self.loop.spare, self.renew
+            reactor,
+            self.post,
+            self.ready,
+            self.terms,
+            config.sockets // 2,
+            self.loop.eviction_candidates,
+            self.renew,
         )
         self.feed = EndpointWatch(reactor, config.coordinator_address, config.index, self._changed)
         self.stopping = False
@@ -146,10 +152,10 @@
     def _stop_when_done(self, play_until_s: float, last_s: float) -> None:
         now_s = self.reactor.seconds()
         if now_s >= play_until_s:
-            self.loop.end()
+            self.loop.release_all()
         # What lies unread was taken all the same. Guards against an end in the moment after this process was held up:
         # its timers are due before it has looked at its sockets.
-        stays = self.loop.owes or now_s < play_until_s and (self.loop.table or self._unread())
+        stays = self.loop.has_pending_work or now_s < play_until_s and (self.loop.table or self._unread())
         if now_s < last_s and stays:
             self.reactor.callLater(0.02, self._stop_when_done, play_until_s, last_s)
         else:  # nothing stands any more: it has ended by itself, or just above
@@ -178,7 +184,7 @@
         self.loop.post(item)
 
     def standing(self, edge: str) -> int:
-        return self.loop.standing(edge)
+        return self.loop.sessions_at(edge)
 
     def _wake(self, at_us: int) -> None:
         if self._call is not None and self._call.active():
--- a/lotuspick/program/entitlement.py
+++ b/lotuspick/program/entitlement.py
@@ -22,7 +22,7 @@
 
 log = logging.getLogger(__name__)
 
-ENDINGS = {"lapsed": TerminationReason.LAPSED, "superseded": TerminationReason.SUPERSEDED}
+ENDINGS = {"lapsed": TerminationReason.ENTITLEMENT_EXPIRED, "superseded": TerminationReason.SUPERSEDED}
 MOST_REVOKED = 100_000
 
 
--- a/lotuspick/program/membership.py
+++ b/lotuspick/program/membership.py
@@ -10,6 +10,7 @@
 
 from lotuspick.core.constraints import ConstraintProvider
 from lotuspick.core.operator_events import OperatorEvent
+from lotuspick.core.settings import RetrySafety
 from lotuspick.membership.constraints import MembershipConstraints
 from lotuspick.membership.members import Begin, Drain, Leave, Members
 from lotuspick.membership.model import Changed, Displaced, Record, Stalled, State
@@ -48,7 +49,11 @@
         self.driver = Driver(
             broker.reactor, self.members, self.commits.submit_all, self._send, self._told, fired=self._follow
         )
-        paid = frozenset(each.name for each in broker.config.settings.classes if each.retry_safety == "paid")
+        paid = frozenset(
+            each.name
+            for each in broker.config.settings.classes
+            if each.retry_safety is RetrySafety.NOT_IDEMPOTENT
+        )
         self.fleet = MembershipConstraints(self.standings, paid, awake_us, told.gap_us)
         self.guide: ConstraintProvider | None = self.fleet
         self.seed = draw.getrandbits(62)
--- a/lotuspick/protocol/edge_messages.py
+++ b/lotuspick/protocol/edge_messages.py
@@ -17,16 +17,20 @@
 
 NORMAL, REVOKED = 16, 31
 GIVE_UP = 16
-BEFORE = {34: TerminationReason.TURNED_AWAY, 47: TerminationReason.EDGE_ERROR, 102: TerminationReason.MOOT}
+BEFORE = {
+    34: TerminationReason.REJECTED_BY_SERVER,
+    47: TerminationReason.SERVER_ERROR,
+    102: TerminationReason.NOT_STARTED,
+}
 """What a cause means before the answer; any other: the set-up broke on its way."""
 AFTER = {NORMAL: TerminationReason.FINISHED, REVOKED: TerminationReason.REVOKED}
 """What a cause means after the answer; any other: the session was cut."""
 TOPICS = {"quality": "share", "profile": "rung", "nic": "link", "tor": "rack"}
 COLUMNS = {"outstanding": "streams", "inflight": "streams", "x0": "link", "x1": "rack"}
 RELEASE_CAUSES = {
-    TerminationReason.GIVEN_UP: GIVE_UP,
+    TerminationReason.CANCELLED_BY_VIEWER: GIVE_UP,
     TerminationReason.NO_ANSWER: GIVE_UP,
-    TerminationReason.OVERRULED: GIVE_UP,
+    TerminationReason.ANSWERED_MEANWHILE: GIVE_UP,
 }
 
 
@@ -114,8 +118,8 @@
         return EdgeServerReleased(
             edge,
             message.session,
-            BEFORE.get(cause[0], TerminationReason.BROKEN),
-            AFTER.get(cause[0], TerminationReason.CUT),
+            BEFORE.get(cause[0], TerminationReason.SETUP_INTERRUPTED),
+            AFTER.get(cause[0], TerminationReason.INTERRUPTED),
             report(message),
         )
     if message.kind == NOTE:
--- a/lotuspick/protocol/media_node_messages.py
+++ b/lotuspick/protocol/media_node_messages.py
@@ -10,11 +10,11 @@
 from lotuspick.routing.messages import AttemptAnswered, EdgeServerNotified, EdgeServerReleased
 from lotuspick.routing.termination import TerminationReason
 
-STATUSES = {503: TerminationReason.TURNED_AWAY, 500: TerminationReason.EDGE_ERROR}
+STATUSES = {503: TerminationReason.REJECTED_BY_SERVER, 500: TerminationReason.SERVER_ERROR}
 """How a set-up ended that was not served; any other status: it broke on its way."""
 ENDS = {
     "finished": TerminationReason.FINISHED,
-    "cut": TerminationReason.CUT,
+    "cut": TerminationReason.INTERRUPTED,
     "revoked": TerminationReason.REVOKED,
 }
 
@@ -24,7 +24,10 @@
     if status == 200:
         return AttemptAnswered(node, session, body)
     return EdgeServerReleased(
-        node, session, STATUSES.get(status, TerminationReason.BROKEN), TerminationReason.CUT
+        node,
+        session,
+        STATUSES.get(status, TerminationReason.SETUP_INTERRUPTED),
+        TerminationReason.INTERRUPTED,
     )
 
 
@@ -50,7 +53,7 @@
     if "over" in event:
         if event["over"] not in ENDS:
             raise ProtocolError(f"over is unknown: {str(event['over'])[:40]!r}")
-        return EdgeServerReleased(node, session, TerminationReason.BROKEN, ENDS[event["over"]])
+        return EdgeServerReleased(node, session, TerminationReason.SETUP_INTERRUPTED, ENDS[event["over"]])
     value = event.get("value")
     if event.get("note") not in TOPICS or isinstance(value, bool) or not isinstance(value, (int, float)):
         raise ProtocolError("event has neither over nor a note with a value")
--- a/lotuspick/protocol/rtsp.py
+++ b/lotuspick/protocol/rtsp.py
@@ -38,7 +38,7 @@
 CAUSES = {
     TerminationReason.FINISHED: 16,
     TerminationReason.REVOKED: 31,
-    TerminationReason.LAPSED: 31,
+    TerminationReason.ENTITLEMENT_EXPIRED: 31,
     TerminationReason.SUPERSEDED: 31,
 }
 """Causes of a release towards a viewer; any other end is a break, 41."""
--- a/lotuspick/protocol/site_settings.py
+++ b/lotuspick/protocol/site_settings.py
@@ -8,12 +8,16 @@
 
 import math
 
-from lotuspick.core.settings import ClassSettings, Settings
+from lotuspick.core.settings import ClassSettings, RetrySafety, Settings
 
 Fields = dict[str, str]
 
 GROUPS = {"cell": "position"}  # the wire's word for where a title lies, in this one place
-EFFECTS = {"pure": "safe", "token": "keyed", "side_effect": "paid"}
+RETRY_SAFETY = {
+    "pure": RetrySafety.IDEMPOTENT,
+    "token": RetrySafety.KEYED,
+    "side_effect": RetrySafety.NOT_IDEMPOTENT,
+}
 
 
 class WireError(Exception):
@@ -77,6 +81,15 @@
     return fields.get(name, "0") in ("1", "true")
 
 
+def _retry_safety(class_name: str, text: str) -> RetrySafety:
+    """The wire's word for whether a class may be repeated; the words of :class:`RetrySafety` are taken as well."""
+    try:
+        return RETRY_SAFETY.get(text) or RetrySafety(text)
+    except ValueError:
+        message = f"class {class_name}.retry_safety must be safe, paid or keyed, not {text!r}"
+        raise ValueError(message) from None
+
+
 def read_settings(pairs: Fields) -> Settings:
     """Build the settings from the path=value pairs of a start; ``ValueError`` names what is missing."""
 
@@ -96,7 +109,7 @@
                 ClassSettings(
                     name=need(pairs, at + "Name"),
                     latency_objective_us=whole(pairs, at + "TargetUs"),
-                    retry_safety=EFFECTS.get(effect, effect),
+                    retry_safety=_retry_safety(need(pairs, at + "Name"), effect),
                     priority_weight=decimal(pairs, at + "Worth", 1.0),
                     bitrate_scale=decimal(per_class("ClassScale", index, "1"), "FamilyInfo.ClassScale"),
                     lowest_rung=whole(per_class("ClassFloor", index, "0"), "FamilyInfo.ClassFloor"),
--- a/lotuspick/routing/dispatcher.py
+++ b/lotuspick/routing/dispatcher.py
@@ -27,6 +27,7 @@
 from lotuspick.core.events import (
     PROVES_NOT_EXECUTED,
     AttemptEnded,
+    AttemptOutcome,
     AttemptResolved,
     ConstraintsChanged,
     Event,
@@ -145,22 +146,22 @@
         gap_ms: int = 0,
     ) -> None:
         """``gap_ms``: how long viewers are asked to stay away that come while more is open than can be held."""
-        self.module, self.edges, self.clock, self.wake_at = module, edges, clock, wake_at
+        self.decisions, self.edge_servers, self.clock, self.wake_at = module, edges, clock, wake_at
         self.period_us, self.classes, self.gap_ms = period_us, classes, gap_ms
         self.inbox: deque[InboundMessage] = deque()
         self.table: dict[str, SessionEntry] = {}
-        self.by_edge: dict[str, set[str]] = {}
+        self.by_server: dict[str, set[str]] = {}
         self.viewers: dict[
             ViewerConnection, ConnectionStats
         ] = {}  # connections on which a release can go out, last to ask last
         self.by_viewer: dict[ViewerConnection, set[str]] = {}
-        self.owed: deque[tuple[int, str, TerminationReason]] = (
+        self.pending_releases: deque[tuple[int, str, TerminationReason]] = (
             deque()
         )  # releases that found no viewer connection
-        self.unsettled = IndeterminateAttempts()  # attempts taken back after they left
-        self.due: list[tuple[int, int, Callable[[int], Event | None]]] = []
-        self.late: list[tuple[str, SessionRequest]] = []  # whose deadline has passed in this tick
-        self.ticked_us, self.woken_us, self.timers = 0, 0, 0
+        self.indeterminate = IndeterminateAttempts()  # attempts taken back after they left
+        self.timers: list[tuple[int, int, Callable[[int], Event | None]]] = []
+        self.expired: list[tuple[str, SessionRequest]] = []  # whose deadline has passed in this tick
+        self.ticked_us, self.woken_us, self.timer_count = 0, 0, 0
         self.shared_us = -SHARED_US  # when a connection that many share was last given up for a newcomer
         self.open_set_ups = 0
         self.turns: dict[type, Callable[[Any, int], list[Event]]] = {
@@ -189,11 +190,11 @@
         # A write that lasts is told within a part of a period: there are as many as the disk makes of them.
         self._wake(self.ticked_us + self.period_us // (SOON if isinstance(item, LedgerCommitted) else 1))
 
-    def standing(self, edge: str) -> int:
+    def sessions_at(self, edge: str) -> int:
         """Sessions and attempts at an edge server."""
-        return len(self.by_edge.get(edge, ()))
+        return len(self.by_server.get(edge, ()))
 
-    def spare(self, most: int) -> list[ViewerConnection]:
+    def eviction_candidates(self, most: int) -> list[ViewerConnection]:
         """The viewer connections that can best be closed to make room, by :meth:`ConnectionStats.rank`. Guards against requests
         and sessions lost with their connection: none with a set-up open can be closed, nor one on which a message came
         a moment ago, whatever it was: the next is on its way, and a newcomer has not said anything yet. Up to ``most``
@@ -219,9 +220,9 @@
         return [viewer for at, (rank, viewer) in enumerate(best) if not at or rank[0] < 3]
 
     @property
-    def owes(self) -> bool:
+    def has_pending_work(self) -> bool:
         """Whether a viewer still waits for an answer or for word of an end."""
-        return bool(self.open_set_ups or self.inbox or self.owed)
+        return bool(self.open_set_ups or self.inbox or self.pending_releases)
 
     def tick(self) -> None:
         """Hand all that is ready to the module and carry out what it returns."""
@@ -234,22 +235,22 @@
                 events.extend(self.turns[type(item)](item, now))
             except Exception:  # guards the rest of the batch, and the process, against a fault over one item
                 log.exception("item passed over", extra={"item": type(item).__name__})
-        while self.due and self.due[0][0] <= now:
-            event = heapq.heappop(self.due)[2](now)
+        while self.timers and self.timers[0][0] <= now:
+            event = heapq.heappop(self.timers)[2](now)
             if event is not None:
                 events.append(event)
-        self.unsettled.forget(now - UNSETTLED_US)
-        while self.owed and self.owed[0][0] <= now:
-            log.warning("release never sent", extra={"session": self.owed.popleft()[1]})
-        if events or self.late:
+        self.indeterminate.forget(now - UNSETTLED_US)
+        while self.pending_releases and self.pending_releases[0][0] <= now:
+            log.warning("release never sent", extra={"session": self.pending_releases.popleft()[1]})
+        if events or self.expired:
             self._run(now, events)
-        late, self.late = self.late, []
+        late, self.expired = self.expired, []
         for session, request in late:
             self._unanswered(session, request)
         if self.inbox:
             self._wake(now + self.period_us)
-        if self.due:
-            self._wake(max(self.due[0][0], now + self.period_us))
+        if self.timers:
+            self._wake(max(self.timers[0][0], now + self.period_us))
 
     def _wake(self, at_us: int) -> None:
         if not self.woken_us or at_us < self.woken_us:
@@ -258,7 +259,7 @@
 
     def _run(self, now: int, events: list[Event]) -> None:
         try:
-            actions = self.module.handle(now, events)
+            actions = self.decisions.handle(now, events)
         except Exception:
             # A fault of the module must not cost the sessions that it is not about: those that it was asked
             # about are failed, since nobody will answer them, and the rest play on.
@@ -275,22 +276,22 @@
                 log.exception("action not carried out", extra={"action": type(action).__name__})
 
     def _after(self, at_us: int, then: Callable[[int], Event | None]) -> None:
-        self.timers += 1
-        heapq.heappush(self.due, (at_us, self.timers, then))
+        self.timer_count += 1
+        heapq.heappush(self.timers, (at_us, self.timer_count, then))
 
-    def end(self) -> None:
+    def release_all(self) -> None:
         """The broker ends, and with it what it holds: guards against sessions that go on at their edge
         servers for nobody, and viewers that watch nothing."""
         now = self.clock()
         for session, entry in list(self.table.items()):
             if entry.stands:
-                self.edges.release(entry.edge, session, TerminationReason.STOPPED)
-                self._over(session, entry, TerminationReason.STOPPED, now)
+                self.edge_servers.release(entry.edge, session, TerminationReason.BROKER_STOPPED)
+                self._over(session, entry, TerminationReason.BROKER_STOPPED, now)
         if not any(
             each.is_open for each in self.viewers
         ):  # guards against an end put off for viewers that are gone
-            log.info("no viewer left to tell", extra={"releases": len(self.owed)})
-            self.owed.clear()
+            log.info("no viewer left to tell", extra={"releases": len(self.pending_releases)})
+            self.pending_releases.clear()
 
     # ---- from viewers -------------------------------------------------------------------------------------
 
@@ -321,7 +322,7 @@
                 return []
         # Guards against a paid set-up that goes out twice: its viewer left, or lost its connection, and comes again
         # under the same name while the attempt made for it may still run.
-        used = held is not None or session in self.unsettled
+        used = held is not None or session in self.indeterminate
         if used or request.session_class not in self.classes:
             self._say(
                 item.viewer,
@@ -365,7 +366,7 @@
         )
         self._put(request.session, entry)
         self._seat(request.session, entry.viewer)
-        self.edges.keep_connected(request.server)
+        self.edge_servers.keep_connected(request.server)
         return [request]
 
     def _dropped(self, item: SessionCancelled, now: int) -> list[Event]:
@@ -374,15 +375,15 @@
             return []
         if not entry.stands:
             return self._give_up(item.session, entry)
-        self.edges.release(entry.edge, item.session, TerminationReason.REVOKED)
+        self.edge_servers.release(entry.edge, item.session, TerminationReason.REVOKED)
         return [replace(self._over(item.session, entry, TerminationReason.REVOKED, now), viewer_left=True)]
 
     def _dismissed(self, item: SessionRevoked, now: int) -> list[Event]:
         entry = self.table.get(item.session)
         if entry is None or not entry.stands:
             return []
-        self.edges.release(entry.edge, item.session, item.ending)
-        return [self._over(item.session, entry, item.ending, now)]
+        self.edge_servers.release(entry.edge, item.session, item.reason)
+        return [self._over(item.session, entry, item.reason, now)]
 
     def _viewer_lost(self, item: ViewerConnectionClosed, now: int) -> list[Event]:
         self.viewers.pop(item.viewer, None)
@@ -401,7 +402,7 @@
 
     def _viewer_came(self, item: ViewerConnectionOpened, now: int) -> list[Event]:
         self.viewers[item.viewer] = ConnectionStats(now)
-        owed, self.owed = self.owed, deque()
+        owed, self.pending_releases = self.pending_releases, deque()
         for _, session, ending in owed:
             item.viewer.released(session, ending)
         return []
@@ -410,7 +411,7 @@
         """The viewer no longer waits: nothing is owed, and the attempt that is out is taken back."""
         events: list[Event] = [ViewerDisconnected(session)]
         if entry.out:
-            events.append(self._take_back(session, entry, TerminationReason.GIVEN_UP, final=True))
+            events.append(self._take_back(session, entry, TerminationReason.CANCELLED_BY_VIEWER, final=True))
         self._forget(session, entry)
         return events
 
@@ -419,7 +420,7 @@
         may be that to ask again is harmless, goes first."""
         entry = self.table.get(session)
         if entry is not None and not entry.stands and entry.request is request:
-            self.late.append((session, request))
+            self.expired.append((session, request))
         return None
 
     def _unanswered(self, session: str, request: SessionRequest) -> None:
@@ -437,7 +438,7 @@
         entry, told = self.table.get(item.session), list[Event]()
         if (
             entry is not None
-            and entry.edge == item.edge
+            and entry.edge == item.server
             and entry.out
             and entry.viewer is not None
             and not entry.viewer.is_open
@@ -445,68 +446,72 @@
         ):
             # Its viewer left, which is not told yet. Guards against a session that stands for nobody.
             told, entry = self._give_up(item.session, entry), None
-        if entry is None or entry.edge != item.edge or not entry.out:
+        if entry is None or entry.edge != item.server or not entry.out:
             # Given up while the answer was on its way: nothing may be left standing. Guards against a release
             # that cuts what stands rightly: a second copy of an answer, and one to an id that was never asked
             # for there, are dropped.
-            if self.unsettled.settle(item.session, item.edge):
-                self.edges.release(item.edge, item.session, TerminationReason.REVOKED)
-                told.append(AttemptResolved(item.session, item.edge, True))
+            if self.indeterminate.settle(item.session, item.server):
+                self.edge_servers.release(item.server, item.session, TerminationReason.REVOKED)
+                told.append(AttemptResolved(item.session, item.server, True))
             return told
         entry.out, entry.stands = False, True
         self.open_set_ups -= 1
         self._drop_copies(item.session, entry)
         self._say(entry.viewer, lambda viewer: viewer.served(item.session, item.description))
         entry.description = b""
-        return [SessionStarted(item.session, entry.attempt, item.edge, now - entry.sent_us)]
+        return [SessionStarted(item.session, entry.attempt, item.server, now - entry.sent_us)]
 
     def _edge_released(self, item: EdgeServerReleased, now: int) -> list[Event]:
         entry = self.table.get(item.session)
-        if entry is None or entry.edge != item.edge or not (entry.out or entry.stands):
+        if entry is None or entry.edge != item.server or not (entry.out or entry.stands):
             # Its end is known already; the load that comes with it is news all the same, and so is proof.
             told: list[Event] = []
             if (
                 entry is None
-                and ATTEMPT_OUTCOMES[item.before] in PROVES_NOT_EXECUTED
-                and self.unsettled.settle(item.session, item.edge)
+                and ATTEMPT_OUTCOMES[item.reason_before_answer] in PROVES_NOT_EXECUTED
+                and self.indeterminate.settle(item.session, item.server)
             ):
-                told.append(AttemptResolved(item.session, item.edge, False))
-            if item.report:
-                told.append(AttemptEnded(item.session, -1, item.edge, "unsent", True, 0, item.report))
+                told.append(AttemptResolved(item.session, item.server, False))
+            if item.load_report:
+                told.append(
+                    AttemptEnded(
+                        item.session, -1, item.server, AttemptOutcome.UNSENT, True, 0, item.load_report
+                    )
+                )
             return told
         if entry.stands:
-            return [self._over(item.session, entry, item.after, now, item.report)]
-        return [self._ended(item.session, entry, item.before, now, item.report)]
+            return [self._over(item.session, entry, item.reason_after_answer, now, item.load_report)]
+        return [self._ended(item.session, entry, item.reason_before_answer, now, item.load_report)]
 
     def _noted(self, item: EdgeServerNotified, now: int) -> list[Event]:
-        return [SessionNotification(item.session, item.edge, item.topic, item.value)]
+        return [SessionNotification(item.session, item.server, item.topic, item.value)]
 
     def _written(self, item: AttemptWritten, now: int) -> list[Event]:
         entry = self.table.get(item.session)
-        if entry is not None and entry.edge == item.edge and entry.out:
-            entry.written_us = max(entry.written_us, item.at_us)
+        if entry is not None and entry.edge == item.server and entry.out:
+            entry.written_us = max(entry.written_us, item.written_at_us)
         return []
 
     def _attempt_over(self, item: AttemptTerminated, now: int) -> list[Event]:
         entry = self.table.get(item.session)
-        if entry is None or entry.edge != item.edge or not entry.out:
+        if entry is None or entry.edge != item.server or not entry.out:
             return []
-        return [self._ended(item.session, entry, item.ending, now)]
+        return [self._ended(item.session, entry, item.reason, now)]
 
     def _edge_down(self, item: EdgeServerFailed, now: int) -> list[Event]:
-        return [ServerFailed(item.edge), *self._cut(item.edge, item.ending, now, now)]
+        return [ServerFailed(item.server), *self._cut(item.server, item.reason, now, now)]
 
     def _roster(self, item: EndpointListChanged, now: int) -> list[Event]:
         """Guards against sessions left standing at a process that died and came back before it was dialled: a
         start cuts what stood before it. What was written later is the new process's, whenever it was queued."""
         events: list[Event] = []
         for entry in item.update.servers:
-            events.extend(self._cut(entry.server, TerminationReason.DOWN, now, entry.started_us))
+            events.extend(self._cut(entry.server, TerminationReason.SERVER_DOWN, now, entry.started_us))
         return [*events, item.update]
 
     def _cut(self, edge: str, ending: TerminationReason, now: int, before_us: int) -> list[Event]:
         """End what stands at an edge server since before a time; attempts are reported one by one."""
-        there = sorted(self.by_edge.get(edge, ())) if before_us else []
+        there = sorted(self.by_server.get(edge, ())) if before_us else []
         return [
             self._over(session, entry, ending, now)
             for session in there
@@ -564,15 +569,15 @@
             can = [each for each in self.viewers if each.is_open]
             viewer = max(can, key=lambda each: self.viewers[each].asked, default=None)
         if viewer is None:
-            self.owed.append((now + OWED_US, session, ending))
+            self.pending_releases.append((now + OWED_US, session, ending))
         else:
             viewer.released(session, ending)
 
     def _take_back(self, session: str, entry: SessionEntry, ending: TerminationReason, final: bool) -> Event:
-        if self.edges.cancel_attempt(entry.edge, session):
+        if self.edge_servers.cancel_attempt(entry.edge, session):
             ending = TerminationReason.UNSENT  # it never left the queue
         else:
-            self.unsettled.add(session, entry.edge, self.ticked_us)
+            self.indeterminate.add(session, entry.edge, self.ticked_us)
         event = self._tell(session, entry, ending, final, self.clock())
         entry.out = False
         self._leave(session, entry)
@@ -580,10 +585,10 @@
 
     def _put(self, session: str, entry: SessionEntry) -> None:
         self.table[session] = entry
-        self.by_edge.setdefault(entry.edge, set()).add(session)
+        self.by_server.setdefault(entry.edge, set()).add(session)
 
     def _leave(self, session: str, entry: SessionEntry) -> None:
-        _discard(self.by_edge, entry.edge, session)
+        _discard(self.by_server, entry.edge, session)
         entry.edge = ""
 
     def _seat(self, session: str, viewer: ViewerConnection | None) -> None:
@@ -618,7 +623,7 @@
             self._pass_on(session, entry, self.clock())
         self._say(entry.viewer, what)
         if entry.out:
-            attempt = self._take_back(session, entry, TerminationReason.OVERRULED, final=True)
+            attempt = self._take_back(session, entry, TerminationReason.ANSWERED_MEANWHILE, final=True)
             self._after(0, lambda now: attempt)
         self._forget(session, entry)
 
@@ -646,7 +651,7 @@
             case SetRung():
                 entry.rung = action.rung
                 if entry.stands:
-                    self.edges.set_rung(entry.edge, session, action.rung)
+                    self.edge_servers.set_rung(entry.edge, session, action.rung)
             case ForwardAttempt():
                 self._send(action, entry, now)
             case RejectSession() if not entry.stands:
@@ -664,7 +669,7 @@
         wait_us = min(action.timeout_us, left_us) if action.timeout_us else left_us
         attempt = entry.attempt
         log.debug("sent", extra={"session": session, "edge": action.server, "rung": entry.rung})
-        ending = self.edges.start_attempt(
+        ending = self.edge_servers.start_attempt(
             action.server,
             AttemptRequest(
                 session,
--- a/lotuspick/routing/messages.py
+++ b/lotuspick/routing/messages.py
@@ -44,28 +44,28 @@
 class AttemptAnswered:
     """An edge server answers: the session stands."""
 
-    edge: str
+    server: str
     session: str
     description: bytes
-    report: Mapping[str, float] = field(default_factory=dict)
+    load_report: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class EdgeServerReleased:
     """An edge server ends an attempt or a session: ``before`` and ``after`` an answer this means so much."""
 
-    edge: str
+    server: str
     session: str
-    before: TerminationReason
-    after: TerminationReason
-    report: Mapping[str, float] = field(default_factory=dict)
+    reason_before_answer: TerminationReason
+    reason_after_answer: TerminationReason
+    load_report: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class EdgeServerNotified:
     """A note on a session that stands; topics as in :class:`lotuspick.core.events.SessionNotification`."""
 
-    edge: str
+    server: str
     session: str
     topic: str
     value: float
@@ -75,26 +75,26 @@
 class AttemptTerminated:
     """An attempt ended without a word from the edge server."""
 
-    edge: str
+    server: str
     session: str
-    ending: TerminationReason
+    reason: TerminationReason
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptWritten:
     """An attempt that waited for a connection has left."""
 
-    edge: str
+    server: str
     session: str
-    at_us: int
+    written_at_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class EdgeServerFailed:
     """The process or machine of an edge server is gone, and what stood there with it."""
 
-    edge: str
-    ending: TerminationReason
+    server: str
+    reason: TerminationReason
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,7 +116,7 @@
     """A session that stands is to end, by no wish of its viewer."""
 
     session: str
-    ending: TerminationReason
+    reason: TerminationReason
 
 
 @dataclass(frozen=True, slots=True)
--- a/lotuspick/simulator.py
+++ b/lotuspick/simulator.py
@@ -26,6 +26,7 @@
 from lotuspick.core.controller import Controller
 from lotuspick.core.events import (
     AttemptEnded,
+    AttemptOutcome,
     Event,
     ServerEntry,
     ServerListUpdate,
@@ -53,14 +54,14 @@
 TOPICS = {"1": "share", "2": "rung", "3": "link", "4": "rack"}
 COLUMNS = {"outstanding": "streams", "x0": "link", "x1": "rack"}
 OUTCOMES = {
-    "delivered": "served",
-    "app_error": "error",
-    "shed": "full",
-    "expired": "timeout",
-    "dial_failed": "unreachable",
-    "dropped": "lost",
-    "revoked": "cancelled",
-    "unused": "unsent",
+    "delivered": AttemptOutcome.SERVED,
+    "app_error": AttemptOutcome.ERROR,
+    "shed": AttemptOutcome.FULL,
+    "expired": AttemptOutcome.TIMEOUT,
+    "dial_failed": AttemptOutcome.UNREACHABLE,
+    "dropped": AttemptOutcome.LOST,
+    "revoked": AttemptOutcome.CANCELLED,
+    "unused": AttemptOutcome.UNSENT,
 }
 
 
--- a/lotuspick/transport/edge_servers/edge_pool.py
+++ b/lotuspick/transport/edge_servers/edge_pool.py
@@ -261,7 +261,7 @@
         self._dialled(well=True)
         self.dials = 0
         if address != self.address:  # the id moved, or its address went to another, while this was dialled
-            connection.drop(TerminationReason.MOVED)
+            connection.drop(TerminationReason.ADDRESS_CHANGED)
             self._moved()
             return
         old, self.connection = self.connection, connection
@@ -312,7 +312,7 @@
             return True
         sent = self.open.get(session)
         if sent is not None and sent.connection.up:
-            sent.connection.sendString(wire.release(session, TerminationReason.GIVEN_UP))
+            sent.connection.sendString(wire.release(session, TerminationReason.CANCELLED_BY_VIEWER))
             if sent.mute(self.pool.reactor.seconds()) or sent.connection is not self.connection:
                 self.doubtful.append(session)  # it may never have been read
                 if self.connection is sent.connection:
@@ -340,7 +340,9 @@
         self.dials += 1
         if ending is TerminationReason.DIAL_REFUSED:
             if not self.plays_on:
-                self.down(TerminationReason.DOWN)  # a process that refuses has died, and has cut what it held
+                self.down(
+                    TerminationReason.SERVER_DOWN
+                )  # a process that refuses has died, and has cut what it held
         elif not self.pool.standing(self.edge):
             return
         elif (
@@ -349,7 +351,7 @@
         ):
             # Guards against sessions left standing: nothing will ever tell the end of what a machine held
             # that vanished.
-            self.down(TerminationReason.SILENT)
+            self.down(TerminationReason.SERVER_UNRESPONSIVE)
         elif (
             ending is not TerminationReason.DIAL_FAILED
         ):  # that fails at once, so it is tried again by the sweep
@@ -393,7 +395,7 @@
         if (
             ending is TerminationReason.RESET
             or self.pool.standing(self.edge)
-            and ending is not TerminationReason.SILENT
+            and ending is not TerminationReason.SERVER_UNRESPONSIVE
         ) and self.pool.reactor.seconds() - self.up_s > BRIEF_S:
             self.dial("lost")  # what ends there is told on the next; the sweep dials after brief ones
 
@@ -439,10 +441,10 @@
                 if self.address is not None:
                     self.dial("none")
                 elif now_s - self.heard_s > UNKNOWN_S:
-                    self.down(TerminationReason.SILENT)
+                    self.down(TerminationReason.SERVER_UNRESPONSIVE)
             return
         if connection.unread_since is not None and now_s - connection.unread_since > limits.silence_s:
-            connection.drop(TerminationReason.SILENT, "does not read")
+            connection.drop(TerminationReason.SERVER_UNRESPONSIVE, "does not read")
         elif connection.part_since is not None and now_s - connection.part_since > PART_WAY_S:
             # Guards against set-ups that follow a spoilt answer into a connection that nothing comes out of.
             connection.drop(TerminationReason.MALFORMED, "stopped short")
@@ -452,7 +454,7 @@
             self.dial("mute")
         elif (standing or self.open) and silent_s > silence_s:
             if self.address is None:
-                self.down(TerminationReason.SILENT)
+                self.down(TerminationReason.SERVER_UNRESPONSIVE)
             elif silent_s > UNCHECKED_S or self.pool.may_check:
                 self.check("silent")
         elif idle and now_s - max(self.used_s, self.heard_s) > limits.idle_s:
--- a/lotuspick/transport/http/http_server.py
+++ b/lotuspick/transport/http/http_server.py
@@ -79,7 +79,7 @@
         """The connection closed before the answer: the set-up is given up."""
         if self.request is not None:
             self.request, self.is_open = None, False
-            self.front.over(self, TerminationReason.GIVEN_UP)
+            self.front.over(self, TerminationReason.CANCELLED_BY_VIEWER)
             self.front.post(ViewerConnectionClosed(self))
 
     def _answer(self, status: int, body: bytes = b"", gap_ms: int | None = None) -> None:
@@ -101,11 +101,11 @@
             self._answer(FORBIDDEN, why.encode())
         else:
             self._answer(BUSY, why.encode(), gap_ms)
-        self.front.over(self, TerminationReason.TURNED_AWAY)
+        self.front.over(self, TerminationReason.REJECTED_BY_SERVER)
 
     def failed(self, session: str, why: str = "") -> None:
         self._answer(FAILED, why.encode())
-        self.front.over(self, TerminationReason.EDGE_ERROR)
+        self.front.over(self, TerminationReason.SERVER_ERROR)
 
     def close_with_error(self, why: str) -> None:
         """An id in use is turned away before it gets as far as the loop."""
--- a/lotuspick/transport/http/media_nodes.py
+++ b/lotuspick/transport/http/media_nodes.py
@@ -125,7 +125,7 @@
         asked = self.nodes[edge].open.pop(session, None)
         if asked is not None:
             asked.cancel()  # closes its connection, which gives it up; the release makes sure
-            self.release(edge, session, TerminationReason.GIVEN_UP)
+            self.release(edge, session, TerminationReason.CANCELLED_BY_VIEWER)
         return False
 
     def release(self, edge: str, session: str, ending: TerminationReason) -> None:
@@ -174,9 +174,9 @@
             self.post(
                 EdgeServerFailed(
                     node.name,
-                    TerminationReason.DOWN
+                    TerminationReason.SERVER_DOWN
                     if why is TerminationReason.DIAL_REFUSED
-                    else TerminationReason.SILENT,
+                    else TerminationReason.SERVER_UNRESPONSIVE,
                 )
             )
             node.index, node.heard_s = 0, self.reactor.seconds()
@@ -191,9 +191,9 @@
         return dial_failed(reason)
     failures: Any = getattr(reason.value, "reasons", ())
     if any(each.check(error.ConnectionDone) for each in failures):
-        return TerminationReason.CLOSED
+        return TerminationReason.CLOSED_BY_PEER
     if reason.check(defer.TimeoutError, defer.CancelledError):
-        return TerminationReason.SILENT
+        return TerminationReason.SERVER_UNRESPONSIVE
     return TerminationReason.RESET
 
 
--- a/lotuspick/transport/rtsp/rtsp_server.py
+++ b/lotuspick/transport/rtsp/rtsp_server.py
@@ -76,7 +76,9 @@
     def pauseProducing(self) -> None:
         """The peer does not read: what waits for it must not pile up."""
         if self._unread is None:
-            self._unread = self.front.reactor.callLater(UNREAD_S, self.drop, TerminationReason.SILENT)
+            self._unread = self.front.reactor.callLater(
+                UNREAD_S, self.drop, TerminationReason.SERVER_UNRESPONSIVE
+            )
 
     def resumeProducing(self) -> None:
         self._unread = self._stop(self._unread)
@@ -95,7 +97,7 @@
     def _late(self) -> None:
         """A message is late. Guards against one that lies here unread, as this process was held up: it is looked for
         once more, and whatever is whole then stops this."""
-        self._part_way = self.front.reactor.callLater(0, self.drop, TerminationReason.SILENT)
+        self._part_way = self.front.reactor.callLater(0, self.drop, TerminationReason.SERVER_UNRESPONSIVE)
 
     def drop(self, ending: TerminationReason) -> None:
         """Close at once."""
@@ -111,7 +113,7 @@
         self.transport.unregisterProducer()
         self.transport.loseConnection()
         self._unread = self._stop(self._unread) or self.front.reactor.callLater(
-            UNREAD_S, self.drop, TerminationReason.SILENT
+            UNREAD_S, self.drop, TerminationReason.SERVER_UNRESPONSIVE
         )
 
     def say_no_more(self) -> None:
@@ -188,7 +190,7 @@
         if hung_up(
             self.transport.fileno()
         ):  # not seen while nothing was read, nor for as long as something is left
-            self.drop(TerminationReason.CLOSED)
+            self.drop(TerminationReason.CLOSED_BY_PEER)
             return
         self.paused = False
         self.transport.resumeProducing()
@@ -305,7 +307,7 @@
             most = over + self.most // SPARED_PART
             for each in self.spare(MORE * most):
                 if most and isinstance(each, RtspConnection) and not readable(each.descriptor):
-                    each.drop(TerminationReason.CROWDED)
+                    each.drop(TerminationReason.CONNECTION_LIMIT)
                     most -= 1
         self._mind_the_door()
 
--- a/lotuspick/transport/sockets.py
+++ b/lotuspick/transport/sockets.py
@@ -59,7 +59,7 @@
 def lost(reason: Failure) -> TerminationReason:
     """How a connection ended that was up."""
     if reason.check(error.ConnectionDone):
-        return TerminationReason.CLOSED
+        return TerminationReason.CLOSED_BY_PEER
     return TerminationReason.RESET
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -14,7 +14,7 @@
     SessionRequest,
     SessionStarted,
 )
-from lotuspick.core.settings import ClassSettings, Settings
+from lotuspick.core.settings import ClassSettings, RetrySafety, Settings
 
 SECOND = 1_000_000
 NOW = 20 * SECOND
@@ -29,7 +29,7 @@
         "rung_values": (0.25, 0.5, 0.75, 1.0),
         "classes": [
             ClassSettings("clip", SECOND),
-            ClassSettings("exam", 1_500_000, retry_safety="paid", priority_weight=3.0),
+            ClassSettings("exam", 1_500_000, retry_safety=RetrySafety.NOT_IDEMPOTENT, priority_weight=3.0),
         ],
         "stream_limit_by_kind": {"box": 30},
         "positions": 4,
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -248,7 +248,7 @@
             lambda each: each.pauseProducing(),
             lambda each: each.dataReceived(Malformed.WRONG * 9),
             lambda each: each.dataReceived(b"x\r\n"),
-            lambda each: each.drop(TerminationReason.CROWDED),
+            lambda each: each.drop(TerminationReason.CONNECTION_LIMIT),
             lambda each: each.say_no_more(),
         ):
             viewer = self.come()
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -11,7 +11,7 @@
 from lotuspick.core.actions import ForwardAttempt, RejectSession, StartTimer, Subscribe
 from lotuspick.core.controller import Controller
 from lotuspick.core.events import AttemptEnded, ServerListUpdate, TimerFired
-from lotuspick.core.settings import ClassSettings
+from lotuspick.core.settings import ClassSettings, RetrySafety
 from lotuspick.routing import dispatcher
 from lotuspick.routing.messages import SessionRequested
 
@@ -21,7 +21,7 @@
 @pytest.mark.parametrize(
     "change",
     [
-        {"classes": [ClassSettings("clip", SECOND, retry_safety="keyed", retry_scope="zone")]},
+        {"classes": [ClassSettings("clip", SECOND, retry_safety=RetrySafety.KEYED, retry_scope="zone")]},
         {"classes": [ClassSettings("clip", SECOND, live=True)], "shared_stream_cost": 0.2},
         {"weight_kind": "nominal"},
         {"weight_kind": "rough"},
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -179,19 +179,25 @@
             (
                 12,
                 {128: b"\x22", **report},
-                EdgeServerReleased("e", ID, TerminationReason.TURNED_AWAY, TerminationReason.CUT, told),
+                EdgeServerReleased(
+                    "e", ID, TerminationReason.REJECTED_BY_SERVER, TerminationReason.INTERRUPTED, told
+                ),
             ),
             (
                 12,
                 {128: b"\x10"},
-                EdgeServerReleased("e", ID, TerminationReason.BROKEN, TerminationReason.FINISHED),
+                EdgeServerReleased("e", ID, TerminationReason.SETUP_INTERRUPTED, TerminationReason.FINISHED),
             ),
             (
                 12,
                 {128: b"\x1f"},
-                EdgeServerReleased("e", ID, TerminationReason.BROKEN, TerminationReason.REVOKED),
+                EdgeServerReleased("e", ID, TerminationReason.SETUP_INTERRUPTED, TerminationReason.REVOKED),
+            ),
+            (
+                12,
+                {128: b"\x66"},
+                EdgeServerReleased("e", ID, TerminationReason.NOT_STARTED, TerminationReason.INTERRUPTED),
             ),
-            (12, {128: b"\x66"}, EdgeServerReleased("e", ID, TerminationReason.MOOT, TerminationReason.CUT)),
             (44, {114: b"nic", 124: b"0.5"}, EdgeServerNotified("e", ID, "link", 0.5)),
             (44, {114: b"nic", 124: b"x"}, None),
             (44, {114: b"new", 124: b"1"}, None),
@@ -358,25 +364,29 @@
                     )
                 )
         made.tick()
-        self.assertEqual(made.spare(8), [], "their next request may be on its way")
+        self.assertEqual(made.eviction_candidates(8), [], "their next request may be on its way")
         now[0] = 1_000_000
-        self.assertEqual(made.spare(8), shared[:1])
-        self.assertEqual(made.spare(8), [], "one a second")
+        self.assertEqual(made.eviction_candidates(8), shared[:1])
+        self.assertEqual(made.eviction_candidates(8), [], "one a second")
         for viewer in crowd:
             made.post(ViewerConnectionOpened(viewer))
         made.tick()
-        self.assertEqual(made.spare(8), crowd[:8])
+        self.assertEqual(made.eviction_candidates(8), crowd[:8])
         made.post(
             SessionRequested(request("new"), viewer=crowd[0])
         )  # it has asked, though nobody has looked yet
-        self.assertEqual(made.spare(8), crowd[1:9])
+        self.assertEqual(made.eviction_candidates(8), crowd[1:9])
         for number, viewer in enumerate(crowd):
             viewer.last_message_us = now[0] - number  # OPTIONS, and nothing more
         self.assertEqual(
-            made.spare(8), [], "nor are those closed that have just said something, whatever it was"
+            made.eviction_candidates(8),
+            [],
+            "nor are those closed that have just said something, whatever it was",
         )
         now[0] += 1_000_000
-        self.assertEqual(made.spare(8), crowd[:-9:-1], "who said nothing for longest goes first")
+        self.assertEqual(
+            made.eviction_candidates(8), crowd[:-9:-1], "who said nothing for longest goes first"
+        )
 
     def test_those_that_are_being_closed_are_room_for_all_newcomers_of_one_look(self) -> None:
         class Pipe(StringTransport):
@@ -436,7 +446,7 @@
             connection = EdgeConnection(self.link)
             self.link.open["s"] = SentAttempt(connection, 0.0)
             self.link.closed(connection, ending)
-            self.assertNotIn(ATTEMPT_OUTCOMES[self.posted.pop().ending], PROVES_NOT_EXECUTED, ending)
+            self.assertNotIn(ATTEMPT_OUTCOMES[self.posted.pop().reason], PROVES_NOT_EXECUTED, ending)
 
     def test_silence_while_this_process_itself_stood_still_is_no_silence(self) -> None:
         """What came meanwhile has not been read yet when the timers of a process that was held up fire."""
@@ -488,7 +498,8 @@
             b"\x00\x0d\x0c" + bytes.fromhex(ID) + b"\x80\x00\x01\x10"
         )  # was on its way: heard all the same
         self.assertEqual(
-            self.posted[-1], EdgeServerReleased("e", ID, TerminationReason.BROKEN, TerminationReason.FINISHED)
+            self.posted[-1],
+            EdgeServerReleased("e", ID, TerminationReason.SETUP_INTERRUPTED, TerminationReason.FINISHED),
         )
         self.clock.pump([0.1] * 11)
         self.assertFalse(old.up)  # the other side need not close
@@ -608,7 +619,9 @@
                 self.posted.clear()
                 self.link.leaving, connection.heard_s = leaving, heard_s
                 self.link._not_up(TerminationReason.DIAL_REFUSED, self.link.address)
-                self.assertEqual(EdgeServerFailed("e", TerminationReason.DOWN) not in self.posted, plays)
+                self.assertEqual(
+                    EdgeServerFailed("e", TerminationReason.SERVER_DOWN) not in self.posted, plays
+                )
 
     def test_no_descriptor_left_tells_nothing_of_the_server(self) -> None:
         self.link.address = ("127.0.0.1", 9)
@@ -630,18 +643,18 @@
             self.posted,
             [
                 AttemptTerminated("e", "s", TerminationReason.DIAL_TIMEOUT),
-                EdgeServerFailed("e", TerminationReason.DOWN),
+                EdgeServerFailed("e", TerminationReason.SERVER_DOWN),
             ],
         )
 
     def test_what_waits_at_a_server_that_is_given_up_never_left(self) -> None:
         self.link.queue.append(QueuedAttempt(b"x", "s"))
-        self.link.down(TerminationReason.SILENT)
+        self.link.down(TerminationReason.SERVER_UNRESPONSIVE)
         self.assertEqual(
             self.posted,
             [
                 AttemptTerminated("e", "s", TerminationReason.UNSENT),
-                EdgeServerFailed("e", TerminationReason.SILENT),
+                EdgeServerFailed("e", TerminationReason.SERVER_UNRESPONSIVE),
             ],
         )
 
@@ -661,8 +674,8 @@
                 "NO_ADDRESS",
                 "QUEUE_FULL",
                 "UNSENT",
-                "TURNED_AWAY",
-                "MOOT",
+                "REJECTED_BY_SERVER",
+                "NOT_STARTED",
             },
         )
 
--- a/tests/test_plugin.py
+++ b/tests/test_plugin.py
@@ -11,7 +11,7 @@
 from helpers import SECOND, entry, request, settings
 
 from lotuspick.core.events import ServerHint, ServerListUpdate
-from lotuspick.core.settings import ClassSettings
+from lotuspick.core.settings import ClassSettings, RetrySafety
 from lotuspick.plugin import (
     Answer,
     AttemptRequest,
@@ -23,7 +23,10 @@
     TerminationReason,
 )
 
-CLASSES = [ClassSettings("clip", SECOND), ClassSettings("exam", SECOND, retry_safety="paid")]
+CLASSES = [
+    ClassSettings("clip", SECOND),
+    ClassSettings("exam", SECOND, retry_safety=RetrySafety.NOT_IDEMPOTENT),
+]
 
 
 class Library:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -13,7 +13,7 @@
 from lotuspick.core.actions import FailSession, ForwardAttempt
 from lotuspick.core.controller import Controller
 from lotuspick.core.events import AttemptEnded, SessionRequest, SessionStarted, TimerFired, ViewerDisconnected
-from lotuspick.core.settings import ClassSettings
+from lotuspick.core.settings import ClassSettings, RetrySafety
 from lotuspick.routing.dispatcher import AGAIN_US, SessionDispatcher
 from lotuspick.routing.indeterminate_attempts import IndeterminateAttempts
 from lotuspick.routing.messages import (
@@ -174,7 +174,7 @@
             ViewerConnectionClosed(second), ViewerConnectionClosed(third), AttemptAnswered("e", "s", b"one")
         )
         first.served.assert_called_once_with("s", b"one")
-        self.play(EdgeServerReleased("e", "s", TerminationReason.EDGE_ERROR, TerminationReason.FINISHED))
+        self.play(EdgeServerReleased("e", "s", TerminationReason.SERVER_ERROR, TerminationReason.FINISHED))
         self.assertEqual((self.loop.table, self.loop.by_viewer), ({}, {}))
 
     def test_a_flood_of_copies_is_looked_at_until_its_connection_is_closed_and_no_further(self) -> None:
@@ -202,7 +202,7 @@
         viewer = Mock(is_open=True)
         self.play(SessionRequested(request("s", session_class="exam"), viewer=viewer))
         self.play(
-            EdgeServerReleased("other", "s", TerminationReason.EDGE_ERROR, TerminationReason.CUT),
+            EdgeServerReleased("other", "s", TerminationReason.SERVER_ERROR, TerminationReason.INTERRUPTED),
             AttemptAnswered("e", "s", b"one"),
             AttemptAnswered("e", "s", b"two"),
             AttemptAnswered("other", "s", b"three"),
@@ -230,12 +230,21 @@
         self.assertEqual([each.server for each in sent], ["s0"])
 
     def test_what_may_have_run_is_sent_again_for_no_class_but_the_safe_one(self) -> None:
-        for effect, again in (("safe", 1), ("keyed", 0), ("paid", 0)):
+        cases = (
+            (RetrySafety.IDEMPOTENT, 1),
+            (RetrySafety.KEYED, 0),
+            (RetrySafety.NOT_IDEMPOTENT, 0),
+        )
+        for retry_safety, again in cases:
             made = Controller(
                 settings(
                     classes=[
                         ClassSettings(
-                            "clip", SECOND, retry_safety=effect, retry_scope="zone", retry_window_us=50_000
+                            "clip",
+                            SECOND,
+                            retry_safety=retry_safety,
+                            retry_scope="zone",
+                            retry_window_us=50_000,
                         )
                     ]
                 ),
@@ -246,7 +255,9 @@
             [first] = of(made.handle(now, [request("a", now)]), ForwardAttempt)
             later = made.handle(now + 10_000, [AttemptEnded("a", 0, first.server, "lost")])
             self.assertEqual(
-                (len(of(later, ForwardAttempt)), len(of(later, FailSession))), (again, 1 - again), effect
+                (len(of(later, ForwardAttempt)), len(of(later, FailSession))),
+                (again, 1 - again),
+                retry_safety,
             )
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -22,15 +22,15 @@
     TimerFired,
     ViewerDisconnected,
 )
-from lotuspick.core.settings import ClassSettings
+from lotuspick.core.settings import ClassSettings, RetrySafety
 
 NOW = 20 * SECOND
 NEVER_RAN = {"full", "unreachable", "unsent"}
 OUTCOMES = ["served", "error", "full", "timeout", "unreachable", "lost", "cancelled", "unsent"]
 CLASSES = [
     ClassSettings("clip", SECOND, title_session_limit=3, lowest_rung=1),
-    ClassSettings("exam", 1_500_000, retry_safety="paid"),
-    ClassSettings("key", SECOND, retry_safety="keyed"),
+    ClassSettings("exam", 1_500_000, retry_safety=RetrySafety.NOT_IDEMPOTENT),
+    ClassSettings("key", SECOND, retry_safety=RetrySafety.KEYED),
 ]
 
 
--- a/tests/test_seats_guide.py
+++ b/tests/test_seats_guide.py
@@ -21,7 +21,7 @@
     SessionStarted,
     ViewerDisconnected,
 )
-from lotuspick.core.settings import ClassSettings
+from lotuspick.core.settings import ClassSettings, RetrySafety
 from lotuspick.entitlement.constraints import Rules, SeatConstraints
 from lotuspick.entitlement.ledger import Ledger, Record, State
 from lotuspick.entitlement.model import Seat
@@ -62,7 +62,10 @@
     def begin(self, ledger: Ledger) -> None:
         rules = Rules(frozenset({"exam"}))
         self.guide = SeatConstraints(rules, checker(), ledger, self.disk, lambda: self.wall)
-        classes = [ClassSettings("clip", SECOND), ClassSettings("exam", SECOND, retry_safety="paid")]
+        classes = [
+            ClassSettings("clip", SECOND),
+            ClassSettings("exam", SECOND, retry_safety=RetrySafety.NOT_IDEMPOTENT),
+        ]
         self.core = Controller(
             settings(classes=classes, retry_after_allowed=True, max_retry_after_us=9 * SECOND), 7, self.guide
         )
--- a/tests/test_seats_live.py
+++ b/tests/test_seats_live.py
@@ -380,7 +380,7 @@
             now[0] += 60 * SECOND
             plugin.change(lambda at: seats.tick(at))
             until(lambda: len(answers) == 3)
-            self.assertEqual(answers[2], Released("a", TerminationReason.LAPSED))
+            self.assertEqual(answers[2], Released("a", TerminationReason.ENTITLEMENT_EXPIRED))
 
 
 class Faults(unittest.TestCase):
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -22,7 +22,7 @@
     TenantRates,
     TimerFired,
 )
-from lotuspick.core.settings import ClassSettings, Settings
+from lotuspick.core.settings import ClassSettings, RetrySafety, Settings
 
 SITES = {
     "campus": Settings(
@@ -30,7 +30,9 @@
         brokers=40,
         classes=[
             ClassSettings("clip", SECOND),
-            ClassSettings("exam", SECOND, retry_safety="paid", priority_weight=3.0, lowest_rung=1),
+            ClassSettings(
+                "exam", SECOND, retry_safety=RetrySafety.NOT_IDEMPOTENT, priority_weight=3.0, lowest_rung=1
+            ),
         ],
         ladder_kb_per_s=(100.0, 200.0, 400.0),
         rung_values=(0.3, 0.6, 1.0),
@@ -52,7 +54,11 @@
         brokers=3,
         classes=[
             ClassSettings(
-                "seated", SECOND // 3, retry_safety="paid", priority_weight=4.0, title_session_limit=2
+                "seated",
+                SECOND // 3,
+                retry_safety=RetrySafety.NOT_IDEMPOTENT,
+                priority_weight=4.0,
+                title_session_limit=2,
             )
         ],
         ladder_kb_per_s=(50.0, 300.0),
@@ -76,7 +82,7 @@
         classes=[
             ClassSettings("clip", 2 * SECOND, priority_weight=9.0, bitrate_scale=1.5),
             ClassSettings("walk", SECOND),
-            ClassSettings("talk", SECOND, retry_safety="keyed", retry_scope="zone"),
+            ClassSettings("talk", SECOND, retry_safety=RetrySafety.KEYED, retry_scope="zone"),
         ],
         ladder_kb_per_s=(80.0, 160.0, 320.0, 640.0),
         rung_values=(0.1, 0.4, 0.8, 1.0),
--- a/tests/test_turnover.py
+++ b/tests/test_turnover.py
@@ -137,7 +137,7 @@
             at = draw.randrange(NODES)
             dies, gone = draw.random() < 0.3, self.node(at, state="gone")
             if dies:
-                loop.post(EdgeServerFailed(gone.server, TerminationReason.DOWN))
+                loop.post(EdgeServerFailed(gone.server, TerminationReason.SERVER_DOWN))
             self.nodes[at] += 1
             loop.post(EndpointListChanged(ServerListUpdate([gone, self.node(at, started_us=self.now_us)])))
         loop.post(ViewerConnectionClosed(viewer))
