--- /dev/null
+++ b/lotuspick/program/configuration/__init__.py
@@ -0,0 +1,49 @@
+"""The one place where configuration is read, checked and given defaults; each message names the key at fault.
+
+A broker learns what it is from the JSON file that ``PROXY_CONFIG`` names (:mod:`.broker`). The operators' own
+files switch on what is off by default: ``deploy/hints.toml`` the HTTP front, ``deploy/tenants.toml`` the
+directory of tenants, ``deploy/cells.toml`` cells, ``deploy/seats.toml`` entitlement and ``deploy/peers.toml``
+membership.
+"""
+
+from lotuspick.program.configuration.broker import flatten, load, read
+from lotuspick.program.configuration.entitlement import DEFAULT_SEATS, read_seats
+from lotuspick.program.configuration.membership import DEFAULT_PEERS, read_peers
+from lotuspick.program.configuration.model import (
+    Config,
+    ConfigError,
+    HintsConfig,
+    PeersConfig,
+    SeatsConfig,
+    TenantsConfig,
+)
+from lotuspick.program.configuration.subsystems import (
+    DEFAULT_CELLS,
+    DEFAULT_HINTS,
+    DEFAULT_TENANTS,
+    read_cells,
+    read_hints,
+    read_tenants,
+)
+
+__all__ = [
+    "DEFAULT_CELLS",
+    "DEFAULT_HINTS",
+    "DEFAULT_PEERS",
+    "DEFAULT_SEATS",
+    "DEFAULT_TENANTS",
+    "Config",
+    "ConfigError",
+    "HintsConfig",
+    "PeersConfig",
+    "SeatsConfig",
+    "TenantsConfig",
+    "flatten",
+    "load",
+    "read",
+    "read_cells",
+    "read_hints",
+    "read_peers",
+    "read_seats",
+    "read_tenants",
+]
--- /dev/null
+++ b/lotuspick/program/configuration/broker.py
@@ -0,0 +1,185 @@
+"""The broker's own configuration: the JSON file that the platform writes, and the environment."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Iterator, Mapping
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+from lotuspick.program.configuration.entitlement import read_seats
+from lotuspick.program.configuration.membership import read_peers
+from lotuspick.program.configuration.model import Config, ConfigError, HintsConfig, TenantsConfig
+from lotuspick.program.configuration.subsystems import read_cells, read_hints, read_tenants
+from lotuspick.program.configuration.values import read_address, read_number, read_value
+from lotuspick.protocol import endpoint_events
+from lotuspick.protocol.errors import ProtocolError
+from lotuspick.protocol.site_settings import WireError, read_settings, whole
+
+if TYPE_CHECKING:
+    from lotuspick.cells.model import Plan
+
+DEFAULT_MEMORY_MB = 192
+DEFAULT_SOCKETS = 1_024
+MINIMUM_SOCKETS = 64
+DEFAULT_PERIOD_US = 10_000
+MINIMUM_PERIOD_US = 1_000
+DEFAULT_DIAL_US = 250_000
+DEFAULT_IDLE_US = 30_000_000
+DEFAULT_STREAMS = 32
+LONGEST_DEADLINE_US = 3_000_000  # a deadline counts as no more for the time that a graceful shutdown leaves
+AFTER_LAST_DEADLINE_US = 700_000  # and the shutdown leaves this much beyond the longest
+SILENCE_US = 5_000_000  # silence of a connection with sessions before it is checked, without notifications
+LATE_NOTIFICATION_US = 500_000  # a notification later than this has not been sent
+ENVIRONMENT = (("name", "PROXY_NAME"), ("listen", "PROXY_LISTEN"))
+NO_EVENTS: Mapping[str, Any] = {"index": 0, "updates": []}
+
+
+def load(
+    environment: Mapping[str, str],
+    path: Path | None = None,
+    hints: Path | None = None,
+    tenants: Path | None = None,
+    cells: Path | None = None,
+    seats: Path | None = None,
+    peers: Path | None = None,
+) -> Config:
+    """Read all of it: the file at ``path``, or that of ``PROXY_CONFIG``; the environment wins over both."""
+    file_name = str(path or environment.get("PROXY_CONFIG", ""))
+    if not file_name:
+        raise ConfigError("PROXY_CONFIG is not set and no file is given")
+    document = _document(file_name)
+    for key, variable in ENVIRONMENT:
+        if environment.get(variable):
+            document[key] = environment[variable]
+    try:
+        return read(document, read_hints(hints), read_tenants(tenants), read_cells(cells), seats, peers)
+    except ConfigError as error:
+        raise ConfigError(f"{file_name}: {error}") from None
+
+
+def _document(file_name: str) -> dict[str, Any]:
+    try:
+        document = json.loads(Path(file_name).read_bytes())
+    except OSError as error:
+        raise ConfigError(f"{file_name}: {error.strerror}") from None
+    except (ValueError, RecursionError) as error:
+        raise ConfigError(f"{file_name}: not JSON: {error}") from None
+    if not isinstance(document, dict):
+        raise ConfigError(f"{file_name}: not an object")
+    return document
+
+
+def read(
+    document: Mapping[str, Any],
+    hints: HintsConfig | None = None,
+    tenants: TenantsConfig | None = None,
+    cells: Plan | None = None,
+    seats: Path | None = None,
+    peers: Path | None = None,
+) -> Config:
+    """Check the parsed object and give defaults."""
+    pairs = dict(flatten(read_value(document, "settings", dict)))
+    events = _known_events(document)
+    try:
+        return _config(
+            document, pairs, events, hints or HintsConfig(), tenants or TenantsConfig(), cells, seats, peers
+        )
+    except WireError as error:
+        raise ConfigError(f"settings: {error}") from None
+    except ValueError as error:
+        raise ConfigError(str(error)) from None
+
+
+def _known_events(document: Mapping[str, Any]) -> endpoint_events.Answer:
+    try:
+        answer = endpoint_events.read(document.get("known", NO_EVENTS), 0)
+    except ProtocolError as error:
+        raise ConfigError(f"known: {error}") from None
+    if answer.faults:
+        raise ConfigError(f"known: {answer.faults[0]}")
+    return answer
+
+
+def _config(
+    document: Mapping[str, Any],
+    pairs: dict[str, str],
+    events: endpoint_events.Answer,
+    hints: HintsConfig,
+    tenants: TenantsConfig,
+    cells: Plan | None,
+    seats: Path | None,
+    peers: Path | None,
+) -> Config:
+    dial_us = whole(pairs, "Limits.DialTimeoutUs", DEFAULT_DIAL_US)
+    idle_us = whole(pairs, "Limits.ConnIdleUs", DEFAULT_IDLE_US)
+    silence_us = _silence_us(pairs)
+    grace_us = _grace_us(pairs)
+    limits = read_value(document, "limits", dict, {})
+    settings = read_settings(pairs)
+    return Config(
+        name=read_value(document, "name", str),
+        listen=read_address(document, "listen"),
+        seed=_seed(document),
+        sockets=read_number(limits, "limits.sockets", DEFAULT_SOCKETS, MINIMUM_SOCKETS),
+        memory_mb=read_number(limits, "limits.memory_mb", DEFAULT_MEMORY_MB, 1),
+        coordinator_address="{}:{}".format(*read_address(document, "coordinator")),
+        index=events.last,
+        changes=tuple(events.changes),
+        settings=settings,
+        period_us=max(MINIMUM_PERIOD_US, whole(pairs, "PeriodUs", DEFAULT_PERIOD_US)),
+        dial_us=dial_us or DEFAULT_DIAL_US,
+        idle_us=idle_us or DEFAULT_IDLE_US,
+        grace_us=grace_us,
+        silence_us=silence_us,
+        streams_per_connection=max(1, whole(pairs, "Limits.StreamsPerConn", DEFAULT_STREAMS)),
+        hints=hints,
+        tenants=tenants,
+        cells=cells,
+        seats=read_seats(settings, seats),
+        peers=read_peers(peers),
+    )
+
+
+def _silence_us(pairs: dict[str, str]) -> int:
+    """How long a connection with sessions may be silent: one notification that is late, where any are sent."""
+    interval_us = whole(pairs, "FamilyInfo.TellUs", 0)
+    delay_us = whole(pairs, "FamilyInfo.SeenAfterUs", 0)
+    return interval_us + delay_us + LATE_NOTIFICATION_US if interval_us else SILENCE_US
+
+
+def _grace_us(pairs: dict[str, str]) -> int:
+    """How long after SIGTERM this process is sure to run: the longest deadline, and a little more."""
+    deadlines_us = [
+        whole(pairs, f"Categories.{index}.HardLimitUs", LONGEST_DEADLINE_US)
+        for index in range(whole(pairs, "Categories.count", 0))
+    ]
+    longest_us = max(deadlines_us, default=LONGEST_DEADLINE_US)
+    return min(LONGEST_DEADLINE_US, longest_us) + AFTER_LAST_DEADLINE_US
+
+
+def _seed(document: Mapping[str, Any]) -> int:
+    text = read_value(document, "seed", str, "0")
+    try:
+        return int(text, 16)
+    except ValueError:
+        raise ConfigError(f"seed must be hex digits, not {text[:40]!r}") from None
+
+
+def flatten(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
+    """Nested JSON as the path=value pairs of the simulator's wire."""
+    if isinstance(value, dict):
+        for key, inner in value.items():
+            yield from flatten(inner, f"{path}.{key}" if path else str(key))
+    elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
+        yield f"{path}.count", str(len(value))
+        for index, inner in enumerate(value):
+            yield from flatten(inner, f"{path}.{index}")
+    elif isinstance(value, list):
+        yield path, ",".join(_scalar(item) for item in value)
+    elif value is not None:
+        yield path, _scalar(value)
+
+
+def _scalar(value: Any) -> str:
+    return str(value).lower() if isinstance(value, bool) else str(value)
--- /dev/null
+++ b/lotuspick/program/configuration/entitlement.py
@@ -0,0 +1,81 @@
+"""The file of seats, which switches on entitlement tokens for paid sessions."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Any
+
+from lotuspick.core.settings import RetrySafety, Settings
+from lotuspick.program.configuration.model import ConfigError, SeatsConfig
+from lotuspick.program.configuration.values import read_number, read_toml, read_value
+
+DEFAULT_SEATS = Path("deploy/seats.toml")
+PATH_KEYS = ("keys", "store", "revoked", "proofs")
+REQUIRED_PATH_KEYS = ("keys", "store")
+DEFAULT_NUMBERS = {"store_mib": 256, "skew_s": 60, "grace_s": 30, "keep_days": 30}
+DEFAULT_GAP_S = 1.0
+LONGEST_GAP_S = 3_600
+SECONDS_PER_DAY = 86_400.0
+
+
+def read_seats(settings: Settings, path: Path | None = None) -> SeatsConfig | None:
+    """The file of seats; without one, or with one that is not enabled, no session needs a token."""
+    keys = {"audience", "enabled", "classes", "required", "gap_s", *PATH_KEYS, *DEFAULT_NUMBERS}
+    table = read_toml(path, DEFAULT_SEATS, keys)
+    path = path or DEFAULT_SEATS
+    try:
+        if not read_value(table, "enabled", bool, False):
+            return None
+        return _seats(table, path.parent, settings)
+    except ConfigError as error:
+        raise ConfigError(f"{path}: {error}") from None
+
+
+def _seats(table: dict[str, Any], folder: Path, settings: Settings) -> SeatsConfig:
+    from lotuspick.entitlement.constraints import Rules
+
+    classes = _classes(table, settings)
+    numbers = {
+        key: read_number(table, key, default, 1 if key == "store_mib" else 0)
+        for key, default in DEFAULT_NUMBERS.items()
+    }
+    paths = {
+        key: folder / read_value(table, key, str)
+        for key in PATH_KEYS
+        if key in table or key in REQUIRED_PATH_KEYS
+    }
+    gap_s = _gap_s(table)
+    audience = read_value(table, "audience", str)
+    required = read_value(table, "required", bool, True)
+    return SeatsConfig(
+        audience=audience,
+        keys=paths["keys"],
+        store=paths["store"],
+        store_mib=numbers["store_mib"],
+        rules=Rules(classes, required, gap_s, numbers["keep_days"] * SECONDS_PER_DAY),
+        skew_s=numbers["skew_s"],
+        grace_s=numbers["grace_s"],
+        revoked=paths.get("revoked"),
+        proofs=paths.get("proofs"),
+    )
+
+
+def _classes(table: dict[str, Any], settings: Settings) -> frozenset[str]:
+    """The classes that take seats: by default all that are set up at most once."""
+    paid = {
+        session_class.name
+        for session_class in settings.classes
+        if session_class.retry_safety is RetrySafety.NOT_IDEMPOTENT
+    }
+    classes = read_value(table, "classes", list, sorted(paid))
+    for name in classes:
+        if name not in paid:
+            raise ConfigError(f"classes: {name!r} is not a paid class of the settings")
+    return frozenset(classes)
+
+
+def _gap_s(table: dict[str, Any]) -> float:
+    gap_s = table.get("gap_s", DEFAULT_GAP_S)
+    if isinstance(gap_s, bool) or not isinstance(gap_s, (int, float)) or not 0 <= gap_s <= LONGEST_GAP_S:
+        raise ConfigError(f"gap_s must be a number from 0 to 3600, not {str(gap_s)[:40]!r}")
+    return float(gap_s)
--- /dev/null
+++ b/lotuspick/program/configuration/membership.py
@@ -0,0 +1,138 @@
+"""The file of peers, which switches on membership: the other brokers of the fleet."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Any
+
+from lotuspick.program.configuration.model import ConfigError, PeersConfig
+from lotuspick.program.configuration.values import (
+    read_address,
+    read_number,
+    read_texts,
+    read_toml,
+    read_value,
+)
+
+DEFAULT_PEERS = Path("deploy/peers.toml")
+KEYS = {
+    "allowed",
+    "brokers",
+    "control",
+    "enabled",
+    "gap_s",
+    "listen",
+    "offers",
+    "seeds",
+    "store",
+    "via",
+    "watch",
+}
+DEFAULT_WATCH_MS = {"period_ms": 300, "silent_ms": 700, "doubt_ms": 1_300, "settle_ms": 2_000}
+FRESH_PERIODS = 3
+"""Periods of failure detection for which what is known of the other brokers counts as fresh."""
+
+
+def read_peers(path: Path | None = None) -> PeersConfig | None:
+    """The file of peers; without one, or with one that is not enabled, this broker talks to no other."""
+    table = read_toml(path, DEFAULT_PEERS, KEYS)
+    path = path or DEFAULT_PEERS
+    try:
+        if not read_value(table, "enabled", bool, False):
+            return None
+        return _peers(table, path.parent)
+    except ConfigError as error:
+        raise ConfigError(f"{path}: {error}") from None
+
+
+def _peers(table: dict[str, Any], folder: Path) -> PeersConfig:
+    from lotuspick.membership.model import MembershipError
+    from lotuspick.membership.model import Rules as FailureDetectionRules
+    from lotuspick.membership.quorum import StandingRules
+
+    listen = read_address(table, "listen")
+    _require_private_address(listen[0])
+    control = _control(table)
+    seeds = read_texts(table, "seeds")
+    offers = read_texts(table, "offers")
+    _check_seeds_and_offers(seeds, offers)
+    via = _via(table)
+    brokers = read_number(table, "brokers", len(seeds), 1)
+    watch_us = _watch_us(table)
+    allowed = {
+        name: read_texts(read_value(table, "allowed", dict), name)
+        for name in read_value(table, "allowed", dict, {})
+    }
+    settle_us = watch_us.pop("settle_us")
+    fresh_us = FRESH_PERIODS * watch_us["period_us"]
+    try:
+        return PeersConfig(
+            listen=listen,
+            seeds=seeds,
+            store=folder / read_value(table, "store", str),
+            watch=FailureDetectionRules(**watch_us),
+            standing=StandingRules(brokers, settle_us, fresh_us=fresh_us, allowed=allowed),
+            control=control,
+            offers=offers,
+            via=via,
+            gap_us=read_number(table, "gap_s", 1, 0) * 1_000_000,
+        )
+    except MembershipError as error:
+        raise ConfigError(str(error).replace("_us must", "_ms must")) from None
+
+
+def _control(table: dict[str, Any]) -> tuple[str, int] | None:
+    control = read_address(table, "control") if "control" in table else None
+    if control is not None and not control[0].startswith("127."):
+        raise ConfigError(f"control must be a loopback address, not {control[0]}")
+    return control
+
+
+def _check_seeds_and_offers(seeds: tuple[str, ...], offers: tuple[str, ...]) -> None:
+    from lotuspick.membership.model import MOST_OFFERS, MOST_TEXT
+
+    for seed in seeds:
+        read_address({"seeds": seed}, "seeds")
+    if len(offers) > MOST_OFFERS or any(len(offer) > MOST_TEXT for offer in offers):
+        raise ConfigError(f"offers must be {MOST_OFFERS} at most, of {MOST_TEXT} characters at most")
+
+
+def _via(table: dict[str, Any]) -> dict[str, str]:
+    via: dict[str, str] = read_value(table, "via", dict, {})
+    for peer in via:
+        read_address({"via": peer}, "via")
+        read_address(via, peer)
+    return via
+
+
+def _watch_us(table: dict[str, Any]) -> dict[str, int]:
+    """The times of ``[watch]``, in microseconds, under the names that the rules of membership have for them."""
+    watch = read_value(table, "watch", dict, {})
+    if unknown := sorted(set(watch) - set(DEFAULT_WATCH_MS)):
+        raise ConfigError(f"watch.{unknown[0]} is not a key of this file")
+    return {
+        key.replace("_ms", "_us"): read_number(watch, f"watch.{key}", default, 1) * 1_000
+        for key, default in DEFAULT_WATCH_MS.items()
+    }
+
+
+def _require_private_address(host: str) -> None:
+    """Refuse to listen for brokers where more than the network between them can connect.
+
+    Nobody proves on these connections who they are, so the operator names one address of this host that the
+    public network cannot reach.
+    """
+    import ipaddress
+    import socket
+
+    try:
+        address = ipaddress.IPv4Address(host)
+    except ValueError:
+        raise ConfigError(f"listen must name an IPv4 address, not {host[:40]!r}") from None
+    if address.is_unspecified or address.is_multicast or address.is_global:
+        raise ConfigError(f"listen must be one address of this host's on a private network, not {host}")
+    with socket.socket() as probe:
+        try:
+            probe.bind((host, 0))
+        except OSError as error:
+            raise ConfigError(f"listen: {host} is not an address of this host: {error.strerror}") from None
--- /dev/null
+++ b/lotuspick/program/configuration/subsystems.py
@@ -0,0 +1,87 @@
+"""The files that switch on the HTTP front, the directory of tenants and cells."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+from lotuspick.program.configuration.model import ConfigError, HintsConfig, TenantsConfig
+from lotuspick.program.configuration.values import read_address, read_number, read_toml, read_value
+from lotuspick.transport.directory import LdapConfig
+
+if TYPE_CHECKING:
+    from lotuspick.cells.model import Plan
+
+DEFAULT_HINTS = Path("deploy/hints.toml")
+DEFAULT_TENANTS = Path("deploy/tenants.toml")
+DEFAULT_CELLS = Path("deploy/cells.toml")
+LDAP_KEYS = {"url", "base", "filter", "name_attribute", "rate_attribute", "bind_dn"}
+DEFAULT_REFRESH_S = 60
+
+
+def read_hints(path: Path | None = None) -> HintsConfig:
+    """The file of the HTTP front; without one it is off."""
+    table = read_toml(path, DEFAULT_HINTS, {"enabled", "listen", "nodes"})
+    try:
+        return _hints(table)
+    except ConfigError as error:
+        raise ConfigError(f"{path or DEFAULT_HINTS}: {error}") from None
+
+
+def _hints(table: dict[str, Any]) -> HintsConfig:
+    enabled = read_value(table, "enabled", bool, False)
+    host, port = read_address(table, "listen") if "listen" in table else ("127.0.0.1", 0)
+    nodes = read_value(table, "nodes", dict, {})
+    for name in nodes:
+        read_address(nodes, name)
+    if enabled and not host.startswith("127.") and host != "localhost":
+        raise ConfigError(f"listen must be a loopback address, not {host}")
+    return HintsConfig(enabled, host, port, nodes)
+
+
+def read_tenants(path: Path | None = None) -> TenantsConfig:
+    """The file of the tenant directory; without one there are no tenants."""
+    table = read_toml(path, DEFAULT_TENANTS, LDAP_KEYS | {"enabled", "password_file", "refresh_s"})
+    path = path or DEFAULT_TENANTS
+    try:
+        if not read_value(table, "enabled", bool, False):
+            return TenantsConfig()
+        ldap = _ldap(table, path.parent)
+        return TenantsConfig(ldap, read_number(table, "refresh_s", DEFAULT_REFRESH_S, 1))
+    except ConfigError as error:
+        raise ConfigError(f"{path}: {error}") from None
+
+
+def _ldap(table: dict[str, Any], folder: Path) -> LdapConfig:
+    for key in ("url", "base"):
+        read_value(table, key, str)
+    given = {key: read_value(table, key, str) for key in LDAP_KEYS if key in table}
+    if not given["url"].startswith(("ldap://", "ldaps://")):
+        raise ConfigError(f"url must start with ldap:// or ldaps://, not {given['url'][:40]!r}")
+    if "password_file" in table:
+        secret = folder / read_value(table, "password_file", str)
+        try:
+            given["password"] = secret.read_text(encoding="utf-8").strip()
+        except OSError as error:
+            raise ConfigError(f"password_file: {error.strerror}") from None
+    return LdapConfig(**given)
+
+
+def read_cells(path: Path | None = None) -> Plan | None:
+    """The file of cells; without one, or with one that is not enabled, there are none."""
+    table = read_toml(path, DEFAULT_CELLS, None)
+    try:
+        if not read_value(table, "enabled", bool, False):
+            return None
+        return _plan(table)
+    except ConfigError as error:
+        raise ConfigError(f"{path or DEFAULT_CELLS}: {error}") from None
+
+
+def _plan(table: dict[str, Any]) -> Plan:
+    from lotuspick.cells.model import PlanError, parse
+
+    try:
+        return parse(table)
+    except PlanError as error:
+        raise ConfigError(str(error)) from None
