--- a/lotuspick/program/components.py
+++ b/lotuspick/program/components.py
@@ -39,30 +39,30 @@
     config: Config
     reactor: Reactor
     terms: Terms
-    renew: Renew | None
+    renew_token: Renew | None
 
     def post(self, item: InboundMessage) -> None:
         """Put an item into the loop's inbox."""
 
-    def standing(self, edge: str) -> int:
+    def sessions_at(self, edge: str) -> int:
         """How many sessions stand at an edge server."""
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether viewers are served."""
 
 
 class Component:
     """One part; what it does not need it leaves as it stands here."""
 
-    guide: ConstraintProvider | None = None
-    renew: Renew | None = None
-    nodes: frozenset[str] = frozenset()
+    constraint_provider: ConstraintProvider | None = None
+    renew_token: Renew | None = None
+    server_ids: frozenset[str] = frozenset()
     """Servers that are reached by this part, and not by the platform's protocol."""
 
     def __init__(self, broker: Broker) -> None:
         self.broker = broker
 
-    def edges(self, edges: EdgeServers) -> EdgeServers:
+    def wrap_edge_servers(self, edges: EdgeServers) -> EdgeServers:
         """The way to edge servers, with this part's own put in front."""
         return edges
 
@@ -77,11 +77,11 @@
         """Take over what it can of a configuration that was read again; returns ``taken`` with that in it."""
         return taken
 
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether a request has come to this part that it has not looked at yet."""
         return False
 
-    def finish(self) -> None:
+    def stop_accepting(self) -> None:
         """A planned end: nothing is owed any more, and what is said now still leaves."""
 
     def close(self) -> None:
@@ -96,10 +96,10 @@
         from lotuspick.cells.constraints import CellConstraints
 
         assert broker.config.cells is not None
-        self.guide: CellConstraints = CellConstraints(broker.config.cells, broker.config.settings.positions)
+        self.constraint_provider: CellConstraints = CellConstraints(broker.config.cells, broker.config.settings.positions)
 
     def tick(self, now: int, summary: bool) -> list[OperatorEvent]:
-        return [*self.guide.take_events(), *([self.guide.summary()] if summary else [])]
+        return [*self.constraint_provider.take_events(), *([self.constraint_provider.summary()] if summary else [])]
 
     def reload(self, new: Config, taken: Config) -> Config:
         return replace(taken, cells=new.cells) if self._take(new.cells) else taken
@@ -109,7 +109,7 @@
         if plan is None:
             return False  # to begin or end with cells takes a restart
         try:
-            self.guide.take(plan, now_us())
+            self.constraint_provider.take(plan, now_us())
         except ValueError as error:
             log.error("plan of cells not taken, the old one stands", extra={"fault": str(error)})
             return False
@@ -125,8 +125,8 @@
 
         assert broker.config.seats is not None
         self.seats = Entitlement(broker.config.seats, broker.reactor.callFromThread, broker.post)
-        self.guide = self.seats.guide
-        self.renew: Renew | None = lambda session, token, done: self.seats.renew(
+        self.constraint_provider = self.seats.guide
+        self.renew_token: Renew | None = lambda session, token, done: self.seats.renew(
             now_us(), session, token, done
         )
 
@@ -146,10 +146,10 @@
 
     def __init__(self, broker: Broker) -> None:
         super().__init__(broker)
-        self.nodes = frozenset(broker.config.hints.nodes)
+        self.server_ids = frozenset(broker.config.hints.nodes)
 
-    def edges(self, edges: EdgeServers) -> EdgeServers:
-        if not self.nodes:
+    def wrap_edge_servers(self, edges: EdgeServers) -> EdgeServers:
+        if not self.server_ids:
             return edges
         from lotuspick.transport.http.media_nodes import EdgeServerRouter, MediaNodePool
 
@@ -159,7 +159,7 @@
             dict(told.hints.nodes),
             told.dial_us / SECOND,
             self.broker.post,
-            self.broker.standing,
+            self.broker.sessions_at,
         )
         return EdgeServerRouter(pool, edges)
 
@@ -167,7 +167,7 @@
         from lotuspick.transport.http.http_server import HttpServer
 
         broker, told = self.broker, self.broker.config
-        self.site = HttpServer(broker.reactor, broker.post, broker.ready, broker.terms, broker.renew).site(
+        self.site = HttpServer(broker.reactor, broker.post, broker.is_ready, broker.terms, broker.renew_token).site(
             told.sockets // 6
         )
         self.door = broker.reactor.listenTCP(
@@ -175,10 +175,10 @@
         )
         log.info("hints front", extra={"listen": "{0.host}:{0.port}".format(self.door.getHost())})
 
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         return readable(self.door.fileno(), *self.site.descriptors)
 
-    def finish(self) -> None:
+    def stop_accepting(self) -> None:
         self.door.stopListening()
 
 
--- a/lotuspick/program/daemon.py
+++ b/lotuspick/program/daemon.py
@@ -38,13 +38,13 @@
     """One broker in one process."""
 
     def __init__(self, config: Config, reactor: Reactor, again: Callable[[], Config]) -> None:
-        self.config, self.reactor, self.again = config, reactor, again
+        self.config, self.reactor, self.load_configuration = config, reactor, again
         classes = frozenset(each.name for each in config.settings.classes)
         self.terms = Terms(classes, config.settings.positions, len(config.settings.ladder_kb_per_s))
-        self.parts = build_components(self)
-        self.renew = next((part.renew for part in self.parts if part.renew is not None), None)
-        guides = [part.guide for part in self.parts if part.guide is not None]
-        self.module = Controller(
+        self.components = build_components(self)
+        self.renew_token = next((part.renew_token for part in self.components if part.renew_token is not None), None)
+        guides = [part.constraint_provider for part in self.components if part.constraint_provider is not None]
+        self.controller = Controller(
             config.settings, config.seed, guides[0] if len(guides) == 1 else CombinedProviders(guides)
         )
         limits = EdgeLimits(
@@ -54,25 +54,25 @@
             per_connection=config.streams_per_connection,
             connections=config.sockets // 4,
         )
-        self.edges = EdgePool(reactor, limits, self.post, self.standing)
-        edges: EdgeServers = self.edges
-        for part in self.parts:
-            edges = part.edges(edges)
+        self.edge_pool = EdgePool(reactor, limits, self.post, self.sessions_at)
+        edges: EdgeServers = self.edge_pool
+        for part in self.components:
+            edges = part.wrap_edge_servers(edges)
             reactor.addSystemEventTrigger("after", "shutdown", part.close)
-        self.nodes = frozenset[str]().union(*(part.nodes for part in self.parts))
-        self.loop = SessionDispatcher(
-            self.module, edges, now_us, self._wake, config.period_us, classes, stay_away_ms(config.settings)
+        self.component_server_ids = frozenset[str]().union(*(part.server_ids for part in self.components))
+        self.dispatcher = SessionDispatcher(
+            self.controller, edges, now_us, self._wake, config.period_us, classes, stay_away_ms(config.settings)
         )
-        self.front = RtspServer(
+        self.rtsp_server = RtspServer(
             reactor,
             self.post,
-            self.ready,
+            self.is_ready,
             self.terms,
             config.sockets // 2,
-            self.loop.eviction_candidates,
-            self.renew,
+            self.dispatcher.eviction_candidates,
+            self.renew_token,
         )
-        self.feed = EndpointWatch(reactor, config.coordinator_address, config.index, self._changed)
+        self.endpoint_watch = EndpointWatch(reactor, config.coordinator_address, config.index, self._changed)
         self.stopping = False
         self.listener: Any = None
         self._call: Any = None
@@ -92,15 +92,15 @@
         """Take what is known of the servers, listen and follow the coordinator."""
         for change in self.config.changes:
             self._changed(change)
-        self.loop.tick()
+        self.dispatcher.tick()
         host, port = self.config.listen
-        self.listener = self.front.listen(host, port, BACKLOG)
+        self.listener = self.rtsp_server.listen(host, port, BACKLOG)
         port = self.listener.getHost().port
-        for part in self.parts:
+        for part in self.components:
             part.start()
-        self.edges.start()
-        self.feed.poll()
-        if self.parts:
+        self.edge_pool.start()
+        self.endpoint_watch.poll()
+        if self.components:
             self._tick(0)
         gc.collect()
         gc.freeze()  # what is here now stays: collections need not look at it
@@ -109,7 +109,7 @@
             extra={
                 "broker": self.config.name,
                 "listen": f"{host}:{port}",
-                "servers": len(self.module.servers),
+                "servers": len(self.controller.servers),
             },
         )
 
@@ -117,12 +117,12 @@
         """Read the configuration again and move to the coordinator named. Guards against a broker that
         ends for a new file, or for a bad one: connections, sessions and the last index stay as they are."""
         try:
-            config = self.again()
+            config = self.load_configuration()
         except ConfigError as error:
             log.error("configuration not taken, the old one stands", extra={"fault": str(error)})
             return
-        self.feed.move(config.coordinator_address)
-        for part in self.parts:
+        self.endpoint_watch.move(config.coordinator_address)
+        for part in self.components:
             self.config = part.reload(config, self.config)
         taken = replace(
             self.config,
@@ -144,7 +144,7 @@
         if self.stopping:
             return
         self.stopping = True
-        log.info("stopping", extra={"sessions": len(self.loop.table)})
+        log.info("stopping", extra={"sessions": len(self.dispatcher.table)})
         now_s = self.reactor.seconds()
         play_s = max(STAY_S, self.config.grace_us / SECOND - LEAVE_S)
         self.reactor.callLater(STAY_S, self._stop_when_done, now_s + play_s, now_s + LONGEST_S)
@@ -152,39 +152,39 @@
     def _stop_when_done(self, play_until_s: float, last_s: float) -> None:
         now_s = self.reactor.seconds()
         if now_s >= play_until_s:
-            self.loop.release_all()
+            self.dispatcher.release_all()
         # What lies unread was taken all the same. Guards against an end in the moment after this process was held up:
         # its timers are due before it has looked at its sockets.
-        stays = self.loop.has_pending_work or now_s < play_until_s and (self.loop.table or self._unread())
+        stays = self.dispatcher.has_pending_work or now_s < play_until_s and (self.dispatcher.table or self._unread())
         if now_s < last_s and stays:
             self.reactor.callLater(0.02, self._stop_when_done, play_until_s, last_s)
         else:  # nothing stands any more: it has ended by itself, or just above
             self.listener.stopListening()
-            self.front.finish()
-            for part in self.parts:
-                part.finish()
+            self.rtsp_server.finish()
+            for part in self.components:
+                part.stop_accepting()
             self.reactor.callLater(0.1, self.reactor.stop)  # what was just written leaves first
 
     def _unread(self) -> bool:
         """Whether a connection or a message has come that was not looked at yet."""
         return (
-            self.front.unread()
+            self.rtsp_server.unread()
             or readable(self.listener.fileno())
-            or any(part.unread() for part in self.parts)
+            or any(part.has_unread_input() for part in self.components)
         )
 
     def _tick(self, told: int) -> None:
         """Have the parts do what is due, and log what they have to say, with a summary now and then."""
-        for part in self.parts:
+        for part in self.components:
             for news in part.tick(now_us(), told % SUMMARY_S == 0):
                 log.info(news.name, extra=dict(news.fields))
         self.reactor.callLater(1, self._tick, told + 1)
 
     def post(self, item: Any) -> None:
-        self.loop.post(item)
+        self.dispatcher.post(item)
 
-    def standing(self, edge: str) -> int:
-        return self.loop.sessions_at(edge)
+    def sessions_at(self, edge: str) -> int:
+        return self.dispatcher.sessions_at(edge)
 
     def _wake(self, at_us: int) -> None:
         if self._call is not None and self._call.active():
@@ -195,17 +195,17 @@
         """A tick is due. Guards against one that decides without what has come, as this process was held up: an answer
         that lies unread beside its time-out, a viewer that has left. The sockets are looked at once before it."""
         if now_us() - at_us > self.config.period_us:
-            self._call = self.reactor.callLater(0, self.loop.tick)
+            self._call = self.reactor.callLater(0, self.dispatcher.tick)
         else:
-            self.loop.tick()
+            self.dispatcher.tick()
 
-    def ready(self) -> bool:
-        return bool(self.module.servers) and not self.stopping
+    def is_ready(self) -> bool:
+        return bool(self.controller.servers) and not self.stopping
 
     def _changed(self, change: Change) -> None:
-        edges = [entry for entry in change.news.servers if entry.server not in self.nodes]
-        self.edges.named(ServerListUpdate(edges, change.news.complete), change.addresses)
-        self.loop.post(EndpointListChanged(change.news))
+        edges = [entry for entry in change.news.servers if entry.server not in self.component_server_ids]
+        self.edge_pool.named(ServerListUpdate(edges, change.news.complete), change.addresses)
+        self.dispatcher.post(EndpointListChanged(change.news))
 
 
 def _bound_descriptors(most: int) -> None:
--- a/lotuspick/program/membership.py
+++ b/lotuspick/program/membership.py
@@ -55,7 +55,7 @@
             if each.retry_safety is RetrySafety.NOT_IDEMPOTENT
         )
         self.fleet = MembershipConstraints(self.standings, paid, awake_us, told.gap_us)
-        self.guide: ConstraintProvider | None = self.fleet
+        self.constraint_provider: ConstraintProvider | None = self.fleet
         self.seed = draw.getrandbits(62)
         self._said = self.standings.now
         self._ticks = self._stalls = 0
@@ -138,7 +138,7 @@
             self.link.sweep()
         return [OperatorEvent("members", self.counts())] if summary else []
 
-    def finish(self) -> None:
+    def stop_accepting(self) -> None:
         """The last that it says: that it has left, so nobody has to find out."""
         self.driver.ask(Leave())
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -154,12 +154,12 @@
                 second.sendall(
                     (SETUP % 2_000).replace(b"exam", kind).replace(b"0000000000000001", OTHER.hex().encode())
                 )
-                self.until(lambda: any(isinstance(each, SessionRequested) for each in self.daemon.loop.inbox))
+                self.until(lambda: any(isinstance(each, SessionRequested) for each in self.daemon.dispatcher.inbox))
                 if reset:
                     edge.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 edge.close()
-                self.daemon.loop.tick()  # before the close is read
-                self.assertIn(OTHER.hex(), self.daemon.edges.links["s-e0"].open)
+                self.daemon.dispatcher.tick()  # before the close is read
+                self.assertIn(OTHER.hex(), self.daemon.edge_pool.links["s-e0"].open)
                 again = self.take()  # the session that stands has it dialled anew
                 self.hears(second, answer)
                 again.settimeout(0.0)
@@ -175,17 +175,17 @@
                 edge = self.take()
                 self.hears(edge, ID)
                 edge.sendall(frame(ANSWER))
-                self.until(lambda: any(isinstance(each, AttemptAnswered) for each in self.daemon.loop.inbox))
+                self.until(lambda: any(isinstance(each, AttemptAnswered) for each in self.daemon.dispatcher.inbox))
                 if reset:
                     viewer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 viewer.close()
-                self.daemon.loop.tick()  # the answer is written before the close is read
-                self.until(lambda: len(self.daemon.front.viewers) == 1)
-                self.until(lambda: not self.daemon.loop.inbox)
-                self.assertTrue(self.daemon.loop.table[ID.hex()].stands, "a session belongs to no connection")
+                self.daemon.dispatcher.tick()  # the answer is written before the close is read
+                self.until(lambda: len(self.daemon.rtsp_server.viewers) == 1)
+                self.until(lambda: not self.daemon.dispatcher.inbox)
+                self.assertTrue(self.daemon.dispatcher.table[ID.hex()].stands, "a session belongs to no connection")
                 edge.sendall(frame(b"\x0c" + ID + b"\x80\x00\x01\x10"))
                 self.hears(second, b"TEARDOWN")  # its end is told on another
-                self.assertEqual(self.daemon.loop.table, {})
+                self.assertEqual(self.daemon.dispatcher.table, {})
 
 
 class Pipe(StringTransport):
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -33,7 +33,7 @@
     def test_the_rest_of_a_message_that_lies_here_is_in_time(self) -> None:
         viewer, whole = self.call(), SETUP % 9_000
         viewer.sendall(whole[:60])
-        self.until(lambda: any(each._buffer or each._decoder.part_way for each in self.daemon.front.viewers))
+        self.until(lambda: any(each._buffer or each._decoder.part_way for each in self.daemon.rtsp_server.viewers))
         viewer.sendall(whole[60:])
         self.held_up(2.2)
         self.timers()
@@ -42,10 +42,10 @@
     def test_one_that_is_late_all_the_same_is_closed(self) -> None:
         viewer = self.call()
         viewer.sendall((SETUP % 9_000)[:60])
-        self.until(lambda: self.daemon.front.viewers)
+        self.until(lambda: self.daemon.rtsp_server.viewers)
         self.held_up(2.2)
         self.timers()
-        self.until(lambda: not self.daemon.front.viewers)
+        self.until(lambda: not self.daemon.rtsp_server.viewers)
 
     def test_what_came_before_an_end_and_was_not_looked_at_is_served(self) -> None:
         """A connection that waits to be taken, and one on which a request waits to be read."""
@@ -76,10 +76,10 @@
         viewer = self.call()
         viewer.sendall(SETUP % 9_000)
         viewer.close()
-        self.until(lambda: self.daemon.front.viewers)
-        self.until(lambda: not self.daemon.front.viewers)
-        self.until(lambda: not self.daemon.loop.inbox)
-        self.assertEqual((self.daemon.loop.table, self.daemon.loop.open_set_ups), ({}, 0))
+        self.until(lambda: self.daemon.rtsp_server.viewers)
+        self.until(lambda: not self.daemon.rtsp_server.viewers)
+        self.until(lambda: not self.daemon.dispatcher.inbox)
+        self.assertEqual((self.daemon.dispatcher.table, self.daemon.dispatcher.open_set_ups), ({}, 0))
 
 
 class HeldUpOverHttp(Stepped):
@@ -94,7 +94,7 @@
             with self.subTest(known=known):
                 self.doCleanups()
                 self.setUp()
-                player = self.call(self.daemon.parts[0].door.getHost().port)
+                player = self.call(self.daemon.components[0].door.getHost().port)
                 if known:
                     player.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
                     self.hears(player, b" 200 ")
