--- a/lotuspick/program/cli.py
+++ b/lotuspick/program/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: ``lotuspick serve``, ``check-config``, ``version`` and the sub-commands of subsystems."""
 
 from __future__ import annotations
 
@@ -68,11 +68,12 @@
         loaded = Files(path, hints, tenants, cells, seats, peers).load()
     except ConfigError as error:
         raise _unusable(error) from None
+    classes = ", ".join(session_class.name for session_class in loaded.settings.classes)
     front = f"{loaded.hints.host}:{loaded.hints.port}" if loaded.hints.enabled else "off"
     typer.echo(
         f"{loaded.name}: listens on {loaded.listen[0]}:{loaded.listen[1]}, "
         f"{sum(len(change.news.servers) for change in loaded.changes)} servers known, "
-        f"classes {', '.join(each.name for each in loaded.settings.classes)}, hints front {front}, "
+        f"classes {classes}, hints front {front}, "
         f"tenants {loaded.tenants.ldap.url if loaded.tenants.ldap else 'none'}, "
         f"cells {len(loaded.cells.cells) if loaded.cells else 'none'}, "
         f"seats {', '.join(sorted(loaded.seats.rules.classes)) if loaded.seats else 'none'}, "
@@ -80,8 +81,8 @@
     )
 
 
-def _later(name: str, module: str, missing: str) -> None:
-    """A command whose own commands are loaded only when it is called: they need what ``serve`` does not."""
+def _add_lazy_command(name: str, module: str, missing: str) -> None:
+    """Add a command whose sub-commands are imported when it is called: they need more libraries."""
 
     def call(context: typer.Context) -> None:
         try:
@@ -91,7 +92,7 @@
             raise typer.Exit(2) from None
         commands.app(args=context.args, prog_name=f"lotuspick {name}")
 
-    help_ = {
+    help_texts = {
         "cells": "Tenants and lessons confined to parts of the fleet: check, show, explain, move.",
         "keys": "Keys that sign and check tokens: make, list, withdraw.",
         "seats": "Seats that are paid for: issue, show, renew, revoke, settle.",
@@ -100,16 +101,16 @@
     }
     app.command(
         name,
-        help=help_[name],
+        help=help_texts[name],
         context_settings={"allow_extra_args": True, "ignore_unknown_options": True, "help_option_names": []},
     )(call)
 
 
-_later("cells", "lotuspick.program.commands.cells", "a library is missing")
-_later("keys", "lotuspick.program.commands.keys", "a library is missing")
-_later("seats", "lotuspick.program.commands.seats", "a library is missing")
-_later("members", "lotuspick.program.commands.members", "a library is missing")
-_later("lab", "lotuspick.lab.cli", "the lab is an extra, pip install 'lotuspick[lab]' brings it")
+_add_lazy_command("cells", "lotuspick.program.commands.cells", "a library is missing")
+_add_lazy_command("keys", "lotuspick.program.commands.keys", "a library is missing")
+_add_lazy_command("seats", "lotuspick.program.commands.seats", "a library is missing")
+_add_lazy_command("members", "lotuspick.program.commands.members", "a library is missing")
+_add_lazy_command("lab", "lotuspick.lab.cli", "the lab is an extra, pip install 'lotuspick[lab]' brings it")
 
 
 @app.command()
@@ -122,4 +123,5 @@
 
 
 def main() -> None:
+    """Run the command line."""
     app()
--- a/lotuspick/program/components.py
+++ b/lotuspick/program/components.py
@@ -1,8 +1,9 @@
-"""What a broker is put together from, beside the ordinary path: each part is on or off by the configuration.
+"""Optional subsystems of a broker, each switched on by its own file under ``deploy/``.
 
-A part says what it takes of its broker (``Broker``) and gives what it has: a guide, a way to edge servers, lines to
-log, renewals. The daemon goes over the list of those that are on and knows none by name. Whatever a part needs is
-imported where the part is made, so that what is off costs neither start nor memory.
+A component says what it needs of its broker (:class:`Broker`) and offers what it has: a constraint provider,
+servers of its own, events for operators, renewal of tokens. The daemon goes over the list of those that are
+on and knows none by name. What a component needs is imported where it is made, so that what is off costs
+neither start-up time nor memory.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 import importlib
 import logging
 from collections.abc import Callable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Any, Protocol
 
 from lotuspick.core.constraints import ConstraintProvider
@@ -18,7 +19,7 @@
 from lotuspick.core.operator_events import OperatorEvent
 from lotuspick.program.configuration import Config
 from lotuspick.protocol.rtsp import Terms
-from lotuspick.routing.interfaces import EdgeServers, TenantDirectory
+from lotuspick.routing.interfaces import EdgeServers, RenewToken, TenantDirectory
 from lotuspick.routing.messages import InboundMessage, TenantRatesUpdated
 from lotuspick.transport.sockets import Reactor, now_us, readable
 
@@ -27,97 +28,102 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 256
+BACKLOG = 256  # connections that the kernel keeps until they are accepted
 SECOND = 1_000_000
-Renew = Callable[[str, str, Callable[[str], None]], None]
-"""Renews a session's token: session, token, and what is called with why not."""
 
 
 class Broker(Protocol):
-    """What a part may use of the broker that it belongs to."""
+    """What a component may use of the broker that it belongs to."""
 
     config: Config
     reactor: Reactor
     terms: Terms
-    renew_token: Renew | None
+    renew_token: RenewToken | None
 
-    def post(self, item: InboundMessage) -> None:
-        """Put an item into the loop's inbox."""
+    def post(self, message: InboundMessage) -> None:
+        """Put a message into the dispatcher's inbox."""
 
-    def sessions_at(self, edge: str) -> int:
-        """How many sessions stand at an edge server."""
+    def sessions_at(self, server: str) -> int:
+        """How many sessions and attempts there are at a server."""
 
     def is_ready(self) -> bool:
         """Whether viewers are served."""
 
 
 class Component:
-    """One part; what it does not need it leaves as it stands here."""
+    """One optional subsystem; what it does not need it leaves as it is here."""
 
     constraint_provider: ConstraintProvider | None = None
-    renew_token: Renew | None = None
+    renew_token: RenewToken | None = None
     server_ids: frozenset[str] = frozenset()
-    """Servers that are reached by this part, and not by the platform's protocol."""
+    """Servers that this component reaches, and not the platform's protocol."""
 
     def __init__(self, broker: Broker) -> None:
         self.broker = broker
 
-    def wrap_edge_servers(self, edges: EdgeServers) -> EdgeServers:
-        """The way to edge servers, with this part's own put in front."""
-        return edges
+    def wrap_edge_servers(self, edge_servers: EdgeServers) -> EdgeServers:
+        """The interface to edge servers, with this component's own servers in front."""
+        return edge_servers
 
     def start(self) -> None:
-        """The broker listens: begin."""
+        """Begin; the broker listens already."""
 
     def tick(self, now: int, summary: bool) -> list[OperatorEvent]:
-        """Once a second: what is due by time; returns lines to log, with a summary where one is asked for."""
+        """Once a second: do what is due at ``now`` (us), return events to log, with a summary where asked."""
         return []
 
-    def reload(self, new: Config, taken: Config) -> Config:
-        """Take over what it can of a configuration that was read again; returns ``taken`` with that in it."""
-        return taken
+    def reload(self, new: Config, applied: Config) -> Config:
+        """Apply what it can of a configuration that was read again; returns ``applied`` with that in it."""
+        return applied
 
     def has_unread_input(self) -> bool:
-        """Whether a request has come to this part that it has not looked at yet."""
+        """Whether input has come to this component that it has not looked at yet."""
         return False
 
     def stop_accepting(self) -> None:
-        """A planned end: nothing is owed any more, and what is said now still leaves."""
+        """Shut down: all requests are answered, and what is written now still leaves."""
 
     def close(self) -> None:
-        """The reactor has ended: nothing is served any more."""
+        """Free what is held; the reactor has ended."""
 
 
 class CellsComponent(Component):
-    """Tenants and lessons confined to parts of the fleet."""
+    """Cells: tenants and lessons confined to parts of the fleet."""
 
     def __init__(self, broker: Broker) -> None:
         super().__init__(broker)
         from lotuspick.cells.constraints import CellConstraints
 
         assert broker.config.cells is not None
-        self.constraint_provider: CellConstraints = CellConstraints(broker.config.cells, broker.config.settings.positions)
+        self.constraint_provider: CellConstraints = CellConstraints(
+            broker.config.cells, broker.config.settings.positions
+        )
 
     def tick(self, now: int, summary: bool) -> list[OperatorEvent]:
-        return [*self.constraint_provider.take_events(), *([self.constraint_provider.summary()] if summary else [])]
-
-    def reload(self, new: Config, taken: Config) -> Config:
-        return replace(taken, cells=new.cells) if self._take(new.cells) else taken
-
-    def _take(self, plan: Plan | None) -> bool:
-        """Follow another plan of cells. Guards against a plan that comes late and would undo a newer one."""
+        """Return the events of the subsystem."""
+        return [
+            *self.constraint_provider.take_events(),
+            *([self.constraint_provider.summary()] if summary else []),
+        ]
+
+    def reload(self, new: Config, applied: Config) -> Config:
+        """Apply what the subsystem can."""
+        return replace(applied, cells=new.cells) if self._follow(new.cells) else applied
+
+    def _follow(self, plan: Plan | None) -> bool:
+        """Follow another plan of cells; one that is older than the current one is rejected."""
         if plan is None:
-            return False  # to begin or end with cells takes a restart
+            return False  # to switch cells on or off takes a restart
         try:
             self.constraint_provider.take(plan, now_us())
         except ValueError as error:
-            log.error("plan of cells not taken, the old one stands", extra={"fault": str(error)})
+            log.error("cell_plan_rejected", extra={"reason": str(error)})
             return False
         return True
 
 
 class EntitlementComponent(Component):
-    """Paid sessions that take seats."""
+    """Entitlement: paid sessions that take seats."""
 
     def __init__(self, broker: Broker) -> None:
         super().__init__(broker)
@@ -126,31 +132,35 @@
         assert broker.config.seats is not None
         self.seats = Entitlement(broker.config.seats, broker.reactor.callFromThread, broker.post)
         self.constraint_provider = self.seats.guide
-        self.renew_token: Renew | None = lambda session, token, done: self.seats.renew(
+        self.renew_token: RenewToken | None = lambda session, token, done: self.seats.renew(
             now_us(), session, token, done
         )
 
     def tick(self, now: int, summary: bool) -> list[OperatorEvent]:
+        """Return the events of the subsystem."""
         return self.seats.tick(now, summary)
 
-    def reload(self, new: Config, taken: Config) -> Config:
+    def reload(self, new: Config, applied: Config) -> Config:
+        """Apply what the subsystem can."""
         self.seats.reload(now_us())
-        return taken
+        return applied
 
     def close(self) -> None:
+        """Write what is queued and close the store."""
         self.seats.close()
 
 
 class HttpComponent(Component):
-    """The second front, and media nodes that speak its protocol."""
+    """The HTTP front, and media nodes that speak its protocol."""
 
     def __init__(self, broker: Broker) -> None:
         super().__init__(broker)
         self.server_ids = frozenset(broker.config.hints.nodes)
 
-    def wrap_edge_servers(self, edges: EdgeServers) -> EdgeServers:
+    def wrap_edge_servers(self, edge_servers: EdgeServers) -> EdgeServers:
+        """Route the servers that speak HTTP to their own connections."""
         if not self.server_ids:
-            return edges
+            return edge_servers
         from lotuspick.transport.http.media_nodes import EdgeServerRouter, MediaNodePool
 
         told = self.broker.config
@@ -161,29 +171,32 @@
             self.broker.post,
             self.broker.sessions_at,
         )
-        return EdgeServerRouter(pool, edges)
+        return EdgeServerRouter(pool, edge_servers)
 
     def start(self) -> None:
+        """Start the subsystem."""
         from lotuspick.transport.http.http_server import HttpServer
 
         broker, told = self.broker, self.broker.config
-        self.site = HttpServer(broker.reactor, broker.post, broker.is_ready, broker.terms, broker.renew_token).site(
-            told.sockets // 6
-        )
-        self.door = broker.reactor.listenTCP(
+        self.site = HttpServer(
+            broker.reactor, broker.post, broker.is_ready, broker.terms, broker.renew_token
+        ).site(told.sockets // 6)
+        self.listener = broker.reactor.listenTCP(
             told.hints.port, self.site, backlog=BACKLOG, interface=told.hints.host
         )
-        log.info("hints front", extra={"listen": "{0.host}:{0.port}".format(self.door.getHost())})
+        log.info("http_serving", extra={"listen": "{0.host}:{0.port}".format(self.listener.getHost())})
 
     def has_unread_input(self) -> bool:
-        return readable(self.door.fileno(), *self.site.descriptors)
+        """Whether a player has connected or sent something that was not read yet."""
+        return readable(self.listener.fileno(), *self.site.descriptors)
 
     def stop_accepting(self) -> None:
-        self.door.stopListening()
+        """Close the listening socket."""
+        self.listener.stopListening()
 
 
 class TenantRatesComponent(Component):
-    """The directory of tenants, read again and again on a thread; while it is away the last reading stands."""
+    """The directory of tenants, polled on a thread; while it cannot be read the last rates stay in force."""
 
     def __init__(self, broker: Broker) -> None:
         super().__init__(broker)
@@ -193,32 +206,48 @@
         self.directory: TenantDirectory = LdapDirectory(broker.config.tenants.ldap)
 
     def start(self) -> None:
+        """Start the subsystem."""
         from twisted.internet.threads import deferToThread
 
         done = deferToThread(self.directory.rates)
         done.addCallback(lambda rates: self.broker.post(TenantRatesUpdated(TenantRates(rates))))
-        done.addErrback(lambda reason: log.warning("no tenants", extra={"fault": reason.getErrorMessage()}))
+        done.addErrback(
+            lambda reason: log.warning("tenant_directory_failed", extra={"reason": reason.getErrorMessage()})
+        )
         done.addBoth(
             lambda _: self.broker.reactor.callLater(self.broker.config.tenants.refresh_s, self.start)
         )
 
 
-PARTS: tuple[tuple[Callable[[Config], Any], str, str], ...] = (
-    (lambda told: told.cells, __name__, "CellsComponent"),
-    (lambda told: told.seats, __name__, "EntitlementComponent"),
-    (lambda told: told.peers, "lotuspick.program.membership", "MembershipComponent"),
-    (lambda told: told.hints.enabled, __name__, "HttpComponent"),
-    (lambda told: told.tenants.ldap, __name__, "TenantRatesComponent"),
+@dataclass(frozen=True, slots=True)
+class ComponentSpec:
+    """A component that there is."""
+
+    is_enabled: Callable[[Config], Any]
+    """What of the configuration switches it on."""
+    module: str
+    class_name: str
+
+
+COMPONENTS: tuple[ComponentSpec, ...] = (
+    ComponentSpec(lambda config: config.cells, __name__, "CellsComponent"),
+    ComponentSpec(lambda config: config.seats, __name__, "EntitlementComponent"),
+    ComponentSpec(lambda config: config.peers, "lotuspick.program.membership", "MembershipComponent"),
+    ComponentSpec(lambda config: config.hints.enabled, __name__, "HttpComponent"),
+    ComponentSpec(lambda config: config.tenants.ldap, __name__, "TenantRatesComponent"),
 )
-"""All parts there are, in the order in which they are made and asked: what of the configuration switches each on, and
-the module and class that it is in."""
+"""All components, in the order in which they are built and asked."""
 
 
 def build_components(broker: Broker) -> list[Component]:
-    """The parts that are on. Raises :class:`~lotuspick.program.configuration.ConfigError` where one cannot begin."""
-    made: list[Component] = []
-    for on, module, name in PARTS:
-        if on(broker.config):
-            part: Component = getattr(importlib.import_module(module), name)(broker)
-            made.append(part)
-    return made
+    """The components that are on.
+
+    Raises:
+        ConfigError: One of them cannot begin with what its file says.
+    """
+    components: list[Component] = []
+    for spec in COMPONENTS:
+        if spec.is_enabled(broker.config):
+            component_class = getattr(importlib.import_module(spec.module), spec.class_name)
+            components.append(component_class(broker))
+    return components
--- a/lotuspick/program/configuration/broker.py
+++ b/lotuspick/program/configuration/broker.py
@@ -142,7 +142,7 @@
 
 
 def _silence_us(pairs: dict[str, str]) -> int:
-    """How long a connection with sessions may be silent: one notification that is late, where any are sent."""
+    """How long a connection with sessions may be silent: until one notification is late, if any are sent."""
     interval_us = whole(pairs, "FamilyInfo.TellUs", 0)
     delay_us = whole(pairs, "FamilyInfo.SeenAfterUs", 0)
     return interval_us + delay_us + LATE_NOTIFICATION_US if interval_us else SILENCE_US
--- a/lotuspick/program/configuration/membership.py
+++ b/lotuspick/program/configuration/membership.py
@@ -106,7 +106,7 @@
 
 
 def _watch_us(table: dict[str, Any]) -> dict[str, int]:
-    """The times of ``[watch]``, in microseconds, under the names that the rules of membership have for them."""
+    """The times of ``[watch]`` in microseconds, under the names that the membership rules have for them."""
     watch = read_value(table, "watch", dict, {})
     if unknown := sorted(set(watch) - set(DEFAULT_WATCH_MS)):
         raise ConfigError(f"watch.{unknown[0]} is not a key of this file")
--- a/lotuspick/program/daemon.py
+++ b/lotuspick/program/daemon.py
@@ -1,4 +1,9 @@
-"""The real broker: puts the module, the loop and the transports together, and ends them in order."""
+"""The daemon: one broker in one process, from its configuration to its graceful shutdown.
+
+:class:`Daemon` builds the decisions, the dispatcher and the transports, starts them in order, hands them the
+signals (SIGTERM and SIGINT: shut down; SIGHUP: read the configuration again) and ends them in order. It owns
+no state of sessions: that is the dispatcher's.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +15,7 @@
 from dataclasses import replace
 from typing import Any
 
-from lotuspick.core.constraints import CombinedProviders
+from lotuspick.core.constraints import CombinedProviders, ConstraintProvider
 from lotuspick.core.controller import Controller
 from lotuspick.core.events import ServerListUpdate
 from lotuspick.program.components import BACKLOG, SECOND, build_components
@@ -19,7 +24,7 @@
 from lotuspick.protocol.rtsp import Terms
 from lotuspick.routing.dispatcher import SessionDispatcher, stay_away_ms
 from lotuspick.routing.interfaces import EdgeServers
-from lotuspick.routing.messages import EndpointListChanged
+from lotuspick.routing.messages import EndpointListChanged, InboundMessage
 from lotuspick.transport.edge_servers.edge_pool import EdgeLimits, EdgePool
 from lotuspick.transport.endpoint_watch import EndpointWatch
 from lotuspick.transport.rtsp.rtsp_server import RtspServer
@@ -27,189 +32,240 @@
 
 log = logging.getLogger(__name__)
 
-STAY_S = 0.8  # after SIGTERM requests keep coming for 0.6 s; those up to 0.7 s are owed an answer
-LEAVE_S = 0.35  # what stands is released so long before SIGKILL may come: enough for a thousand releases
-LONGEST_S = 30.0  # no set-up waits longer for its answer
-IDLE_PART = 0.9  # this side closes idle connections first: a set-up must not cross the other side's close
-SUMMARY_S = 60  # between summaries of the parts
+ACCEPT_AFTER_SIGTERM_S = 0.8  # requests keep coming for 0.6 s; those up to 0.7 s have to be answered
+RELEASE_BEFORE_KILL_S = 0.35  # before SIGKILL may come: enough for a thousand releases
+LONGEST_SHUTDOWN_S = 30.0  # no attempt waits longer for its answer
+SHUTDOWN_CHECK_S = 0.02  # between looks whether all is answered
+LAST_WRITES_S = 0.1  # what was just written leaves before the process ends
+IDLE_TIMEOUT_RATIO = (
+    0.9  # this side closes idle connections first: an attempt must not cross the other's close
+)
+COMPONENT_TICK_S = 1
+SUMMARY_TICKS = 60  # between summaries of the components
+EDGE_CONNECTIONS_RATIO = 4  # one in so many descriptors is for connections to edge servers
+VIEWER_CONNECTIONS_RATIO = 2  # and one in so many for those of viewers
 
 
 class Daemon:
     """One broker in one process."""
 
-    def __init__(self, config: Config, reactor: Reactor, again: Callable[[], Config]) -> None:
-        self.config, self.reactor, self.load_configuration = config, reactor, again
-        classes = frozenset(each.name for each in config.settings.classes)
+    def __init__(self, config: Config, reactor: Reactor, load_configuration: Callable[[], Config]) -> None:
+        """``load_configuration`` reads the configuration again; it raises :class:`ConfigError`."""
+        self.config, self.reactor, self.load_configuration = config, reactor, load_configuration
+        classes = frozenset(session_class.name for session_class in config.settings.classes)
         self.terms = Terms(classes, config.settings.positions, len(config.settings.ladder_kb_per_s))
         self.components = build_components(self)
-        self.renew_token = next((part.renew_token for part in self.components if part.renew_token is not None), None)
-        guides = [part.constraint_provider for part in self.components if part.constraint_provider is not None]
-        self.controller = Controller(
-            config.settings, config.seed, guides[0] if len(guides) == 1 else CombinedProviders(guides)
+        self.renew_token = next(
+            (component.renew_token for component in self.components if component.renew_token is not None),
+            None,
         )
-        limits = EdgeLimits(
-            dial_s=config.dial_us / SECOND,
-            idle_s=config.idle_us / SECOND * IDLE_PART,
-            silence_s=config.silence_us / SECOND,
-            per_connection=config.streams_per_connection,
-            connections=config.sockets // 4,
+        self.controller = Controller(config.settings, config.seed, self._constraint_provider())
+        self.edge_pool = EdgePool(reactor, _edge_limits(config), self.post, self.sessions_at)
+        self.component_server_ids = frozenset[str]().union(
+            *(component.server_ids for component in self.components)
         )
-        self.edge_pool = EdgePool(reactor, limits, self.post, self.sessions_at)
-        edges: EdgeServers = self.edge_pool
-        for part in self.components:
-            edges = part.wrap_edge_servers(edges)
-            reactor.addSystemEventTrigger("after", "shutdown", part.close)
-        self.component_server_ids = frozenset[str]().union(*(part.server_ids for part in self.components))
         self.dispatcher = SessionDispatcher(
-            self.controller, edges, now_us, self._wake, config.period_us, classes, stay_away_ms(config.settings)
+            self.controller,
+            self._edge_servers(),
+            now_us,
+            self._wake,
+            config.period_us,
+            classes,
+            stay_away_ms(config.settings),
         )
         self.rtsp_server = RtspServer(
             reactor,
             self.post,
             self.is_ready,
             self.terms,
-            config.sockets // 2,
+            config.sockets // VIEWER_CONNECTIONS_RATIO,
             self.dispatcher.eviction_candidates,
             self.renew_token,
         )
-        self.endpoint_watch = EndpointWatch(reactor, config.coordinator_address, config.index, self._changed)
+        self.endpoint_watch = EndpointWatch(
+            reactor, config.coordinator_address, config.index, self._endpoints_changed
+        )
         self.stopping = False
         self.listener: Any = None
-        self._call: Any = None
+        self._tick_call: Any = None
 
     def run(self, blocked: frozenset[signal.Signals] = frozenset()) -> None:
-        """Serve until SIGTERM or SIGINT, and until nothing is owed any more. ``blocked``: signals that wait for it."""
-        _bound_descriptors(self.config.sockets)
+        """Serve until SIGTERM or SIGINT, and until every request is answered.
+
+        Args:
+            blocked: Signals that the process has blocked so far, to be let through once it can handle them.
+        """
+        _limit_descriptors(self.config.sockets)
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: self.reactor.callFromThread(self.stop))
         signal.signal(signal.SIGHUP, lambda *_: self.reactor.callFromThread(self.reload))
         self.start()
         signal.pthread_sigmask(signal.SIG_UNBLOCK, blocked)
         self.reactor.run(installSignalHandlers=False)
-        log.info("stopped")
+        log.info("shutdown_finished")
 
     def start(self) -> None:
-        """Take what is known of the servers, listen and follow the coordinator."""
+        """Take the known endpoint list, listen, and follow the coordinator."""
         for change in self.config.changes:
-            self._changed(change)
+            self._endpoints_changed(change)
         self.dispatcher.tick()
         host, port = self.config.listen
         self.listener = self.rtsp_server.listen(host, port, BACKLOG)
         port = self.listener.getHost().port
-        for part in self.components:
-            part.start()
+        for component in self.components:
+            component.start()
         self.edge_pool.start()
         self.endpoint_watch.poll()
         if self.components:
-            self._tick(0)
+            self._tick_components(0)
         gc.collect()
         gc.freeze()  # what is here now stays: collections need not look at it
-        log.info(
-            "serving",
-            extra={
-                "broker": self.config.name,
-                "listen": f"{host}:{port}",
-                "servers": len(self.controller.servers),
-            },
-        )
+        fields = {
+            "broker": self.config.name,
+            "listen": f"{host}:{port}",
+            "servers": len(self.controller.servers),
+        }
+        log.info("serving", extra=fields)
 
     def reload(self) -> None:
-        """Read the configuration again and move to the coordinator named. Guards against a broker that
-        ends for a new file, or for a bad one: connections, sessions and the last index stay as they are."""
+        """Read the configuration again, follow the coordinator that it names and hand it to the components.
+
+        A bad file changes nothing, and neither ends a connection or a session: whatever else a new file says
+        waits for a restart.
+        """
         try:
             config = self.load_configuration()
         except ConfigError as error:
-            log.error("configuration not taken, the old one stands", extra={"fault": str(error)})
+            log.error("configuration_rejected", extra={"reason": str(error)})
             return
         self.endpoint_watch.move(config.coordinator_address)
-        for part in self.components:
-            self.config = part.reload(config, self.config)
-        taken = replace(
+        for component in self.components:
+            self.config = component.reload(config, self.config)
+        applied = replace(
             self.config,
             coordinator_address=config.coordinator_address,
             index=config.index,
             changes=config.changes,
         )
-        log.info(
-            "configuration read again",
-            extra={
-                "coordinator": config.coordinator_address,
-                "rest": "same" if taken == config else "for a restart",
-            },
-        )
+        rest = "same" if applied == config else "for a restart"
+        log.info("configuration_reloaded", extra={"coordinator": config.coordinator_address, "rest": rest})
 
     def stop(self) -> None:
-        """A planned end: go on accepting and answering, and exit once nothing is owed. Guards against
-        sessions cut before they must be: what stands plays on for as long as the platform leaves."""
+        """Begin the graceful shutdown: go on accepting and answering, and exit once all is answered.
+
+        Sessions that play go on for as long as the platform leaves before SIGKILL.
+        """
         if self.stopping:
             return
         self.stopping = True
-        log.info("stopping", extra={"sessions": len(self.dispatcher.table)})
+        log.info("shutdown_started", extra={"sessions": len(self.dispatcher.table)})
         now_s = self.reactor.seconds()
-        play_s = max(STAY_S, self.config.grace_us / SECOND - LEAVE_S)
-        self.reactor.callLater(STAY_S, self._stop_when_done, now_s + play_s, now_s + LONGEST_S)
+        play_s = max(ACCEPT_AFTER_SIGTERM_S, self.config.grace_us / SECOND - RELEASE_BEFORE_KILL_S)
+        self.reactor.callLater(
+            ACCEPT_AFTER_SIGTERM_S, self._stop_when_done, now_s + play_s, now_s + LONGEST_SHUTDOWN_S
+        )
+
+    def post(self, message: InboundMessage) -> None:
+        """Put a message into the dispatcher's inbox."""
+        self.dispatcher.post(message)
+
+    def sessions_at(self, server: str) -> int:
+        """How many sessions and attempts there are at a server."""
+        return self.dispatcher.sessions_at(server)
+
+    def is_ready(self) -> bool:
+        """Whether viewers are served: the endpoint list is known and no shutdown has begun."""
+        return bool(self.controller.servers) and not self.stopping
+
+    def _constraint_provider(self) -> ConstraintProvider:
+        providers = [
+            component.constraint_provider
+            for component in self.components
+            if component.constraint_provider is not None
+        ]
+        return providers[0] if len(providers) == 1 else CombinedProviders(providers)
+
+    def _edge_servers(self) -> EdgeServers:
+        """The connections to edge servers, wrapped by the components that reach servers of their own."""
+        edge_servers: EdgeServers = self.edge_pool
+        for component in self.components:
+            edge_servers = component.wrap_edge_servers(edge_servers)
+            self.reactor.addSystemEventTrigger("after", "shutdown", component.close)
+        return edge_servers
 
     def _stop_when_done(self, play_until_s: float, last_s: float) -> None:
         now_s = self.reactor.seconds()
         if now_s >= play_until_s:
             self.dispatcher.release_all()
-        # What lies unread was taken all the same. Guards against an end in the moment after this process was held up:
-        # its timers are due before it has looked at its sockets.
-        stays = self.dispatcher.has_pending_work or now_s < play_until_s and (self.dispatcher.table or self._unread())
-        if now_s < last_s and stays:
-            self.reactor.callLater(0.02, self._stop_when_done, play_until_s, last_s)
-        else:  # nothing stands any more: it has ended by itself, or just above
-            self.listener.stopListening()
-            self.rtsp_server.finish()
-            for part in self.components:
-                part.stop_accepting()
-            self.reactor.callLater(0.1, self.reactor.stop)  # what was just written leaves first
-
-    def _unread(self) -> bool:
+        if now_s < last_s and self._has_work(now_s < play_until_s):
+            self.reactor.callLater(SHUTDOWN_CHECK_S, self._stop_when_done, play_until_s, last_s)
+            return
+        self.listener.stopListening()
+        self.rtsp_server.finish()
+        for component in self.components:
+            component.stop_accepting()
+        self.reactor.callLater(LAST_WRITES_S, self.reactor.stop)
+
+    def _has_work(self, sessions_may_play: bool) -> bool:
+        """Whether the shutdown has to wait.
+
+        Unread input counts as work: after the process was held up, its timers are due before it has looked at
+        its sockets.
+        """
+        if self.dispatcher.has_pending_work:
+            return True
+        return sessions_may_play and bool(self.dispatcher.table or self._has_unread_input())
+
+    def _has_unread_input(self) -> bool:
         """Whether a connection or a message has come that was not looked at yet."""
         return (
             self.rtsp_server.unread()
             or readable(self.listener.fileno())
-            or any(part.has_unread_input() for part in self.components)
+            or any(component.has_unread_input() for component in self.components)
         )
 
-    def _tick(self, told: int) -> None:
-        """Have the parts do what is due, and log what they have to say, with a summary now and then."""
-        for part in self.components:
-            for news in part.tick(now_us(), told % SUMMARY_S == 0):
-                log.info(news.name, extra=dict(news.fields))
-        self.reactor.callLater(1, self._tick, told + 1)
-
-    def post(self, item: Any) -> None:
-        self.dispatcher.post(item)
-
-    def sessions_at(self, edge: str) -> int:
-        return self.dispatcher.sessions_at(edge)
+    def _tick_components(self, tick: int) -> None:
+        """Have the components do what is due, and log their events, with a summary now and then."""
+        for component in self.components:
+            for event in component.tick(now_us(), tick % SUMMARY_TICKS == 0):
+                log.info(event.name, extra=dict(event.fields))
+        self.reactor.callLater(COMPONENT_TICK_S, self._tick_components, tick + 1)
 
     def _wake(self, at_us: int) -> None:
-        if self._call is not None and self._call.active():
-            self._call.cancel()
-        self._call = self.reactor.callLater(max(0, at_us - now_us()) / SECOND, self._due, at_us)
+        if self._tick_call is not None and self._tick_call.active():
+            self._tick_call.cancel()
+        delay_s = max(0, at_us - now_us()) / SECOND
+        self._tick_call = self.reactor.callLater(delay_s, self._tick_due, at_us)
 
-    def _due(self, at_us: int) -> None:
-        """A tick is due. Guards against one that decides without what has come, as this process was held up: an answer
-        that lies unread beside its time-out, a viewer that has left. The sockets are looked at once before it."""
+    def _tick_due(self, at_us: int) -> None:
+        """Tick, or if this tick is late look at the sockets once before it.
+
+        A process that was held up would otherwise decide without what has come meanwhile: an answer that lies
+        unread beside its time-out, a viewer that has left.
+        """
         if now_us() - at_us > self.config.period_us:
-            self._call = self.reactor.callLater(0, self.dispatcher.tick)
+            self._tick_call = self.reactor.callLater(0, self.dispatcher.tick)
         else:
             self.dispatcher.tick()
 
-    def is_ready(self) -> bool:
-        return bool(self.controller.servers) and not self.stopping
-
-    def _changed(self, change: Change) -> None:
-        edges = [entry for entry in change.news.servers if entry.server not in self.component_server_ids]
-        self.edge_pool.named(ServerListUpdate(edges, change.news.complete), change.addresses)
+    def _endpoints_changed(self, change: Change) -> None:
+        entries = [entry for entry in change.news.servers if entry.server not in self.component_server_ids]
+        self.edge_pool.named(ServerListUpdate(entries, change.news.complete), change.addresses)
         self.dispatcher.post(EndpointListChanged(change.news))
 
 
-def _bound_descriptors(most: int) -> None:
-    """Keep the process itself inside its limit, whatever it was started with."""
+def _edge_limits(config: Config) -> EdgeLimits:
+    return EdgeLimits(
+        dial_s=config.dial_us / SECOND,
+        idle_s=config.idle_us / SECOND * IDLE_TIMEOUT_RATIO,
+        silence_s=config.silence_us / SECOND,
+        per_connection=config.streams_per_connection,
+        connections=config.sockets // EDGE_CONNECTIONS_RATIO,
+    )
+
+
+def _limit_descriptors(maximum: int) -> None:
+    """Keep the process itself inside its limit of descriptors, whatever it was started with."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft == resource.RLIM_INFINITY or soft > most:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
+    if soft == resource.RLIM_INFINITY or soft > maximum:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (maximum, hard))
--- a/lotuspick/program/logging.py
+++ b/lotuspick/program/logging.py
@@ -1,4 +1,4 @@
-"""Logging: one key=value line for each event, on standard error."""
+"""Logging: one key=value line for each event, on standard error. ``docs/logging.md`` lists the events."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def start(level: str) -> None:
-    """Send all log lines to standard error as ``when=... at=... msg=... key=value``."""
+    """Send all log lines at ``level`` or above to standard error as ``when=... at=... msg=... key=value``."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         Logfmter(
@@ -22,6 +22,6 @@
     )
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
     logging.getLogger("twisted").setLevel(logging.WARNING)
-    # What goes wrong inside the reactor is told in the same form, not lost.
+    # Errors inside the reactor are logged in the same form.
     observer: Any = STDLibLogObserver()
     globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False, discardBuffer=True)
--- a/lotuspick/program/serve.py
+++ b/lotuspick/program/serve.py
@@ -1,8 +1,8 @@
-"""Serves viewers: what ``lotuspick serve`` does, and what the platform's line ``run`` starts by itself.
+"""Serves viewers: what ``lotuspick serve`` does, and what the platform's ``run`` starts directly.
 
-``python -m lotuspick.program.serve`` takes no arguments: all that a broker of the platform is told comes with the
-environment and the files under ``deploy/``. It leaves out the command line and its library, which would stay in memory
-for as long as the broker serves.
+``python -m lotuspick.program.serve`` takes no arguments: a broker of the platform is configured by the
+environment and the files under ``deploy/``. It leaves out the command line and its library, which would
+stay in memory for as long as the broker serves.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Files:
-    """The files that are named; None: the broker's own from ``PROXY_CONFIG``, the others from ``deploy/``."""
+    """Paths of the files; None: the broker's own from ``PROXY_CONFIG``, the others from ``deploy/``."""
 
     broker: Path | None = None
     hints: Path | None = None
@@ -31,16 +31,24 @@
     peers: Path | None = None
 
     def load(self) -> configuration.Config:
-        """Read and check all of them. Raises :class:`ConfigError`, whose text names file and key."""
+        """Read and check all of them.
+
+        Raises:
+            ConfigError: One cannot be used; the text names file and key.
+        """
         return configuration.load(
             os.environ, self.broker, self.hints, self.tenants, self.cells, self.seats, self.peers
         )
 
 
 def serve(files: Files, log_level: str = "info") -> None:
-    """Serve viewers until SIGTERM. Raises :class:`ConfigError` where it cannot begin."""
-    # Guards against a signal lost, or fatal, before it can be heeded: the kernel keeps it until the broker unblocks it,
-    # and a SIGHUP that crosses the reading of the configuration has it read again.
+    """Serve viewers until SIGTERM.
+
+    Raises:
+        ConfigError: The configuration cannot be used.
+    """
+    # A signal before the handlers are installed would be lost or fatal: the kernel keeps it until the broker
+    # unblocks it, and a SIGHUP during the reading of the configuration has it read again.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     loaded = files.load()
     logging.start(log_level)
@@ -52,6 +60,7 @@
 
 
 def main() -> None:
+    """Start as the platform does: no arguments, exit status 2 for a configuration that cannot be used."""
     if sys.argv[1:]:
         sys.exit("lotuspick: this takes no arguments, lotuspick serve does")
     try:
