--- a/lotuspick/protocol/cmcd.py
+++ b/lotuspick/protocol/cmcd.py
@@ -1,4 +1,4 @@
-"""CMCD (CTA-5004): what players say of themselves, in headers or in the query."""
+"""CMCD (CTA-5004): what players report, in headers or in the query."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def hint(session: str, keys: Mapping[str, Any]) -> PlayerHint | None:
-    """What the keys tell the decisions of a session; None where they tell nothing."""
+    """The hint about a session that the keys make; None where none of them bears on the decisions."""
     if not keys.keys() & {"bl", "bs", "mtp"}:
         return None
     return PlayerHint(
--- a/lotuspick/protocol/cmsd.py
+++ b/lotuspick/protocol/cmsd.py
@@ -1,4 +1,4 @@
-"""CMSD (CTA-5006): what media nodes say of themselves, in the headers of their answers."""
+"""CMSD (CTA-5006): what media nodes report in the headers of their answers."""
 
 from __future__ import annotations
 
@@ -47,8 +47,10 @@
 
 
 def hint(node: str, headers: Mapping[str, str]) -> ServerHint | None:
-    """What an answer of a node (header names in lower case) tells the decisions of its link. The node's own
-    entry counts, or the first, since the node is the origin of what it answers."""
+    """The hint about a node's link in the headers of its answer (names in lower case).
+
+    The node's own entry counts, or the first, since the node is the origin of what it answers.
+    """
     if STATIC in headers:
         read_static(headers[STATIC])
     entries = read_dynamic(headers[DYNAMIC]) if DYNAMIC in headers else []
--- a/lotuspick/protocol/edge_messages.py
+++ b/lotuspick/protocol/edge_messages.py
@@ -1,4 +1,4 @@
-"""The binary messages of edge servers: type, session and parameters. The framing takes their length off."""
+"""The binary messages of edge servers: type, session and parameters; the framing takes their length off."""
 
 from __future__ import annotations
 
@@ -11,36 +11,44 @@
 from lotuspick.routing.messages import AttemptAnswered, EdgeServerNotified, EdgeServerReleased
 from lotuspick.routing.termination import TerminationReason
 
+# Types of messages.
 SET_UP, PROGRESS, ANSWER, RELEASE, HEARD, NOTE, TESTED, RUNG = 1, 6, 9, 12, 16, 44, 53, 60
+# Codes of parameters.
 CLASS, WAIT, TITLE, TOPIC, REPORT = 100, 102, 108, 114, 118
 LEVEL, FIGURE, CAUSE, DESCRIPTION = 122, 124, 128, 130
-
+# Causes of a release.
 NORMAL, REVOKED = 16, 31
-GIVE_UP = 16
-BEFORE = {
+CANCELLED = 16
+LENGTH_PREFIX_BYTES = 2
+HEAD_BYTES = 9  # type and session
+PARAMETER_HEAD_BYTES = 3  # code and length
+REASONS_BEFORE_ANSWER = {
     34: TerminationReason.REJECTED_BY_SERVER,
     47: TerminationReason.SERVER_ERROR,
     102: TerminationReason.NOT_STARTED,
 }
-"""What a cause means before the answer; any other: the set-up broke on its way."""
-AFTER = {NORMAL: TerminationReason.FINISHED, REVOKED: TerminationReason.REVOKED}
-"""What a cause means after the answer; any other: the session was cut."""
+"""What a cause means before the answer; any other: the set-up was interrupted."""
+REASONS_AFTER_ANSWER = {NORMAL: TerminationReason.FINISHED, REVOKED: TerminationReason.REVOKED}
+"""What a cause means after the answer; any other: the session was interrupted."""
 TOPICS = {"quality": "share", "profile": "rung", "nic": "link", "tor": "rack"}
 COLUMNS = {"outstanding": "streams", "inflight": "streams", "x0": "link", "x1": "rack"}
 RELEASE_CAUSES = {
-    TerminationReason.CANCELLED_BY_VIEWER: GIVE_UP,
-    TerminationReason.NO_ANSWER: GIVE_UP,
-    TerminationReason.ANSWERED_MEANWHILE: GIVE_UP,
+    TerminationReason.CANCELLED_BY_VIEWER: CANCELLED,
+    TerminationReason.NO_ANSWER: CANCELLED,
+    TerminationReason.ANSWERED_MEANWHILE: CANCELLED,
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
+    """One message: its type, its session (16 hex digits) and its parameters by code."""
+
     kind: int
     session: str
     parameters: Mapping[int, bytes] = field(default_factory=dict)
 
     def text(self, code: int, name: str) -> str:
+        """A parameter that has to be there, as text; ``name`` is for the error."""
         try:
             return self.parameters[code].decode("utf-8")
         except KeyError:
@@ -51,21 +59,22 @@
 
 def decode(frame: bytes) -> Message:
     """One message without its length."""
-    fits(len(frame) + 2, "message")
-    if len(frame) < 9:
+    fits(len(frame) + LENGTH_PREFIX_BYTES, "message")
+    if len(frame) < HEAD_BYTES:
         raise ProtocolError(f"message of {len(frame)} bytes has no type and session")
     parameters: dict[int, bytes] = {}
-    at = 9
-    while at < len(frame):
-        if at + 3 > len(frame):
+    position = HEAD_BYTES
+    while position < len(frame):
+        value_start = position + PARAMETER_HEAD_BYTES
+        if value_start > len(frame):
             raise ProtocolError("message ends inside the head of a parameter")
-        code, length = frame[at], int.from_bytes(frame[at + 1 : at + 3], "big")
-        at += 3
-        if at + length > len(frame):
+        code = frame[position]
+        length = int.from_bytes(frame[position + 1 : value_start], "big")
+        position = value_start + length
+        if position > len(frame):
             raise ProtocolError(f"parameter {code} of {length} bytes goes past its message")
-        parameters[code] = frame[at : at + length]
-        at += length
-    return Message(frame[0], frame[1:9].hex(), parameters)
+        parameters[code] = frame[value_start:position]
+    return Message(frame[0], frame[1:HEAD_BYTES].hex(), parameters)
 
 
 def encode(kind: int, session: str, parameters: Mapping[int, bytes]) -> bytes:
@@ -74,61 +83,64 @@
     for code, value in parameters.items():
         parts.append(bytes((code,)) + len(value).to_bytes(2, "big") + value)
     frame = b"".join(parts)
-    fits(len(frame) + 2, "message")
+    fits(len(frame) + LENGTH_PREFIX_BYTES, "message")
     return frame
 
 
-def set_up(ask: AttemptRequest) -> bytes:
+def set_up(request: AttemptRequest) -> bytes:
+    """The request for an attempt."""
     return encode(
         SET_UP,
-        ask.session,
+        request.session,
         {
-            CLASS: ask.session_class.encode(),
-            WAIT: str(ask.timeout_ms).encode(),
-            TITLE: ask.title.encode(),
-            LEVEL: str(ask.rung).encode(),
-            DESCRIPTION: ask.description,
+            CLASS: request.session_class.encode(),
+            WAIT: str(request.timeout_ms).encode(),
+            TITLE: request.title.encode(),
+            LEVEL: str(request.rung).encode(),
+            DESCRIPTION: request.description,
         },
     )
 
 
-def release(session: str, ending: TerminationReason) -> bytes:
-    """Gives a set-up up, or ends a session that stands."""
-    return encode(RELEASE, session, {CAUSE: bytes((RELEASE_CAUSES.get(ending, REVOKED),))})
+def release(session: str, termination: TerminationReason) -> bytes:
+    """Cancels an attempt, or ends a session that plays."""
+    return encode(RELEASE, session, {CAUSE: bytes((RELEASE_CAUSES.get(termination, REVOKED),))})
 
 
 def heard(session: str) -> bytes:
+    """The acknowledgement of a message, which also tests the connection."""
     return encode(HEARD, session, {})
 
 
 def new_rung(session: str, rung: int) -> bytes:
+    """The change of a session's rung while it plays."""
     return encode(RUNG, session, {LEVEL: str(rung).encode()})
 
 
-def read(edge: str, message: Message) -> AttemptAnswered | EdgeServerReleased | EdgeServerNotified | None:
-    """What a message of an edge server tells the loop; None where it tells nothing."""
+def read(server: str, message: Message) -> AttemptAnswered | EdgeServerReleased | EdgeServerNotified | None:
+    """What a message of an edge server means to the dispatcher; None where it needs none."""
     if message.kind == ANSWER:
         if DESCRIPTION not in message.parameters:
             raise ProtocolError("answer has no description (parameter 130)")
-        return AttemptAnswered(edge, message.session, message.parameters[DESCRIPTION], report(message))
+        return AttemptAnswered(server, message.session, message.parameters[DESCRIPTION], report(message))
     if message.kind == RELEASE:
         cause = message.parameters.get(CAUSE, b"")
         if len(cause) != 1:
             raise ProtocolError("release has no cause of one byte (parameter 128)")
         return EdgeServerReleased(
-            edge,
+            server,
             message.session,
-            BEFORE.get(cause[0], TerminationReason.SETUP_INTERRUPTED),
-            AFTER.get(cause[0], TerminationReason.INTERRUPTED),
+            REASONS_BEFORE_ANSWER.get(cause[0], TerminationReason.SETUP_INTERRUPTED),
+            REASONS_AFTER_ANSWER.get(cause[0], TerminationReason.INTERRUPTED),
             report(message),
         )
     if message.kind == NOTE:
         topic = TOPICS.get(message.text(TOPIC, "topic"))
-        value = _figure(message.text(FIGURE, "figure"))
+        value = _parse_finite(message.text(FIGURE, "figure"))
         return (
             None
             if topic is None or value is None
-            else EdgeServerNotified(edge, message.session, topic, value)
+            else EdgeServerNotified(server, message.session, topic, value)
         )
     if message.kind not in (PROGRESS, HEARD, TESTED):
         raise ProtocolError(f"type {message.kind} is none of an edge server's")  # noise that fits a frame
@@ -136,17 +148,17 @@
 
 
 def report(message: Message) -> dict[str, float]:
-    """The load report, if one is there; fields that make no sense are passed over."""
-    found: dict[str, float] = {}
+    """The load report, by column; empty without one. Fields that make no sense are ignored."""
+    columns: dict[str, float] = {}
     for part in message.parameters.get(REPORT, b"").decode("utf-8", "replace").split(";"):
         name, _, text = part.strip().partition(":")
-        value = _figure(text)
+        value = _parse_finite(text)
         if name in COLUMNS and value is not None:
-            found[COLUMNS[name]] = value
-    return found
+            columns[COLUMNS[name]] = value
+    return columns
 
 
-def _figure(text: str) -> float | None:
+def _parse_finite(text: str) -> float | None:
     try:
         value = float(text)
     except ValueError:
--- a/lotuspick/protocol/endpoint_events.py
+++ b/lotuspick/protocol/endpoint_events.py
@@ -1,4 +1,4 @@
-"""The coordinator's events: JSON of one answer, or of ``known``, as changes of the server list."""
+"""The coordinator's watch events: JSON of one answer, or of ``known``, as changes of the endpoint list."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One event: news for the module, and the address of each server that it names."""
+    """One watch event: the update for the decisions, and the address of each server that it names."""
 
     index: int
     news: ServerListUpdate
@@ -29,7 +29,7 @@
     last: int
     changes: list[Change]
     faults: list[str]
-    """What was wrong with the updates that had to be passed over."""
+    """What was wrong with the updates that were skipped."""
 
 
 def parse(text: bytes, after: int) -> Answer:
@@ -41,8 +41,10 @@
 
 
 def read(answer: Any, after: int) -> Answer:
-    """The same for JSON that is parsed already. Guards against one malformed update that would hold up the
-    feed for ever: it is passed over, and told."""
+    """The same for JSON that is parsed already.
+
+    A malformed update is skipped and reported in ``faults``: it would hold up the watch for ever.
+    """
     if not isinstance(answer, dict):
         raise ProtocolError("answer is not an object")
     last = _get(answer, "index", int)
@@ -51,13 +53,13 @@
     for update in _get(answer, "updates", list):
         try:
             changes.extend(change for change in _change(update) if change.index > after)
-        except ProtocolError as fault:
-            faults.append(str(fault))
+        except ProtocolError as error:
+            faults.append(str(error))
     return Answer(last, changes, faults)
 
 
 def address(text: str) -> tuple[str, int]:
-    """host:port."""
+    """Host and port of ``host:port``."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 <= int(port) < 65_536:
         raise ProtocolError(f"address is not host:port: {text[:60]!r}")
@@ -66,7 +68,7 @@
 
 def _get(owner: dict[str, Any], name: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
     value = owner.get(name, default)
-    if isinstance(value, bool) and kind is not bool or not isinstance(value, kind):
+    if (isinstance(value, bool) and kind is not bool) or not isinstance(value, kind):
         raise ProtocolError(f"{name} is {'missing' if value is None else f'malformed: {str(value)[:40]!r}'}")
     return value
 
--- /dev/null
+++ b/lotuspick/protocol/key_values.py
@@ -0,0 +1,75 @@
+"""Readers of ``name=value`` fields, the form of the simulator's wire and of the site's settings."""
+
+from __future__ import annotations
+
+import math
+
+Fields = dict[str, str]
+"""The fields of one line, or the settings as path=value pairs."""
+
+
+class WireError(Exception):
+    """A line or a pair that does not follow the wire; the text names the field."""
+
+
+def split_fields(parts: list[str]) -> Fields:
+    """The fields of a line that was split at its spaces."""
+    fields: Fields = {}
+    for part in parts:
+        name, equals, value = part.partition("=")
+        if not equals or not name:
+            raise WireError(f"{part!r} is not name=value")
+        fields[name] = value
+    return fields
+
+
+def required(fields: Fields, name: str) -> str:
+    """The text of a field that has to be there."""
+    try:
+        return fields[name]
+    except KeyError:
+        raise WireError(f"{name} is missing") from None
+
+
+def read_whole(fields: Fields, name: str, default: int | None = None) -> int:
+    """A whole number; without a default it is required."""
+    if default is not None and name not in fields:
+        return default
+    text = required(fields, name)
+    try:
+        return int(text)
+    except ValueError:
+        raise WireError(f"{name} is not a whole number: {text!r}") from None
+
+
+def read_decimal(fields: Fields, name: str, default: float | None = None) -> float:
+    """A finite number; without a default it is required."""
+    if default is not None and name not in fields:
+        return default
+    text = required(fields, name)
+    try:
+        value = float(text)
+    except ValueError:
+        raise WireError(f"{name} is not a number: {text!r}") from None
+    if not math.isfinite(value):
+        raise WireError(f"{name} is not a finite number: {text!r}")
+    return value
+
+
+def read_flag(fields: Fields, name: str) -> bool:
+    """A flag; one that is absent is off."""
+    return fields.get(name, "0") in ("1", "true")
+
+
+def read_list(fields: Fields, name: str) -> list[str]:
+    """The comma-separated texts of a field; none where it is absent or empty."""
+    text = fields.get(name, "")
+    return text.split(",") if text else []
+
+
+def parse_lenient_number(text: str | None) -> float | None:
+    """A reading that may be nonsense: None where it is no number at all."""
+    try:
+        return None if text is None else float(text)
+    except ValueError:
+        return None
--- a/lotuspick/protocol/media_node_messages.py
+++ b/lotuspick/protocol/media_node_messages.py
@@ -1,4 +1,4 @@
-"""What media nodes of the second front say over HTTP: how set-ups end, and the events of sessions."""
+"""What media nodes say over HTTP: how attempts end, and the events of sessions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from lotuspick.routing.termination import TerminationReason
 
 STATUSES = {503: TerminationReason.REJECTED_BY_SERVER, 500: TerminationReason.SERVER_ERROR}
-"""How a set-up ended that was not served; any other status: it broke on its way."""
+"""How an attempt ended that was not served; any other status: it was interrupted."""
 ENDS = {
     "finished": TerminationReason.FINISHED,
     "cut": TerminationReason.INTERRUPTED,
@@ -20,7 +20,7 @@
 
 
 def answer(node: str, session: str, status: int, body: bytes) -> AttemptAnswered | EdgeServerReleased:
-    """What the answer to a set-up tells the loop."""
+    """The message for the dispatcher that the answer to an attempt stands for."""
     if status == 200:
         return AttemptAnswered(node, session, body)
     return EdgeServerReleased(
@@ -32,18 +32,21 @@
 
 
 def events(node: str, text: bytes) -> tuple[int, list[EdgeServerReleased | EdgeServerNotified]]:
-    """``{"index": LAST, "events": [...]}``: an event has a ``session`` and either ``over`` (finished, cut,
-    revoked) or ``note`` (quality, nic, tor) with a ``value``."""
+    """The index and the messages of ``{"index": LAST, "events": [...]}``.
+
+    An event has a ``session`` and either ``over`` (finished, cut, revoked) or ``note`` (quality, nic, tor)
+    with a ``value``.
+    """
     try:
-        told = json.loads(text)
+        document = json.loads(text)
     except (ValueError, RecursionError):
         raise ProtocolError(f"events are not JSON: {text[:40]!r}") from None
-    if not isinstance(told, dict) or not isinstance(told.get("events"), list):
+    if not isinstance(document, dict) or not isinstance(document.get("events"), list):
         raise ProtocolError("events is missing")
-    index = told.get("index")
+    index = document.get("index")
     if isinstance(index, bool) or not isinstance(index, int) or index < 0:
         raise ProtocolError("index is missing or malformed")
-    return index, [_event(node, each) for each in told["events"]]
+    return index, [_event(node, event) for event in document["events"]]
 
 
 def _event(node: str, event: Any) -> EdgeServerReleased | EdgeServerNotified:
--- a/lotuspick/protocol/rtsp.py
+++ b/lotuspick/protocol/rtsp.py
@@ -1,4 +1,4 @@
-"""RTSP as viewers speak it: framing, the messages of this protocol, and set-ups as the loop takes them.
+"""RTSP as viewers speak it: decoding of messages, set-ups as the dispatcher takes them, and answers.
 
 The decoder is fed lines and bodies, as a line protocol has them, and keeps no more than one message.
 """
@@ -7,6 +7,7 @@
 
 import math
 from dataclasses import dataclass, field
+from typing import Any
 
 from lotuspick.core.events import SessionPlaying, SessionRequest
 from lotuspick.protocol.errors import MOST_BYTES, ProtocolError, fits, session_id, whole
@@ -16,14 +17,20 @@
 
 VERSION = "RTSP/1.0"
 BASE = "rtsp://media/"
-MOST_HEADERS = 64
-EDGE_HEAD = 256  # what an edge message holds beside description and title, with room to spare
-MOST_LEFT_MS = 24 * 3_600_000
-KEPT_MS = 60_000  # a viewer that would wait longer is answered within this: nothing is kept for hours
+MAX_HEADERS = 64
+EDGE_MESSAGE_OVERHEAD = 256  # bytes of an edge message beside description and title, rounded up
+MAX_TIME_LEFT_MS = 24 * 3_600_000
+MAX_DEADLINE_MS = 60_000  # a viewer that would wait longer is answered within this: nothing is kept for hours
+MAX_REASON_PHRASE = 120  # characters
 METHODS = frozenset({"SETUP", "TEARDOWN", "OPTIONS", "ANNOUNCE", "REDIRECT", "SET_PARAMETER"})
 
+SERVED = 200
+BAD_REQUEST = 400
 FORBIDDEN = 403
-SERVED, BAD_REQUEST, NO_BANDWIDTH, FAILED, NOT_READY, NOT_IMPLEMENTED = 200, 400, 453, 500, 503, 501
+NO_BANDWIDTH = 453
+FAILED = 500
+NOT_IMPLEMENTED = 501
+NOT_READY = 503
 REASONS = {
     SERVED: "OK",
     BAD_REQUEST: "Bad Request",
@@ -33,7 +40,8 @@
     NOT_READY: "Service Unavailable",
     NOT_IMPLEMENTED: "Not Implemented",
 }
-TOKEN = "p-token"  # a header of ours: what entitles the viewer; read where seats are on
+TOKEN = "p-token"
+"""An extension header: the entitlement token of the viewer; read where entitlement is on."""
 CSEQ = {"SETUP": "1", "TEARDOWN": "2", "OPTIONS": "3"}
 CAUSES = {
     TerminationReason.FINISHED: 16,
@@ -41,13 +49,13 @@
     TerminationReason.ENTITLEMENT_EXPIRED: 31,
     TerminationReason.SUPERSEDED: 31,
 }
-"""Causes of a release towards a viewer; any other end is a break, 41."""
+"""Causes of a release towards a viewer; any other termination is a break."""
 BREAK = 41
 
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """What a set-up may name."""
+    """What a set-up may name: the classes of the site, positions on its ring and rungs of its ladder."""
 
     classes: frozenset[str]
     positions: int
@@ -74,6 +82,7 @@
 
     @property
     def session(self) -> str:
+        """The session that the message is about."""
         return session_id(self.header("Session"))
 
 
@@ -86,11 +95,11 @@
 
     @property
     def part_way(self) -> bool:
-        """Whether a message has begun and is not whole."""
+        """Whether a message has begun and is not complete."""
         return self._message is not None
 
     def line(self, line: bytes) -> int | None:
-        """Take a line without its end. Returns the length of the body once the head is whole."""
+        """Take a line without its end; returns the length of the body once the head is complete."""
         self._size += len(line) + 2
         fits(self._size, "head")
         try:
@@ -98,25 +107,18 @@
         except UnicodeDecodeError:
             raise ProtocolError(f"head line is not ASCII: {line[:40]!r}") from None
         if self._message is None:
-            if text:  # empty lines between messages are allowed
-                self._message = _start(text)
-            return None  # they count towards the bound all the same: nobody sends them without end
+            if text:  # empty lines between messages are allowed, and count towards the bound all the same
+                self._message = _parse_start_line(text)
+            return None
         if not text:
             length = whole(self._message.header("Content-Length"), "Content-Length")
             fits(self._size + length, "message")
             return length
-        name, colon, value = text.partition(":")
-        if not colon or not name or name != name.strip():
-            raise ProtocolError(f"header line has no name: {text[:40]!r}")
-        if name.lower() in self._message.headers:
-            raise ProtocolError(f"{name} is given twice")
-        if len(self._message.headers) >= MOST_HEADERS:
-            raise ProtocolError(f"more than {MOST_HEADERS} headers")
-        self._message.headers[name.lower()] = value.strip()
+        _add_header(self._message.headers, text)
         return None
 
     def body(self, body: bytes) -> Message:
-        """Take the whole body; returns the message and is ready for the next."""
+        """Take the complete body; returns the message and is ready for the next."""
         message = self._message
         if message is None:
             raise ProtocolError("body without a head")
@@ -125,7 +127,18 @@
         return message
 
 
-def _start(text: str) -> Message:
+def _add_header(headers: dict[str, str], text: str) -> None:
+    name, colon, value = text.partition(":")
+    if not colon or not name or name != name.strip():
+        raise ProtocolError(f"header line has no name: {text[:40]!r}")
+    if name.lower() in headers:
+        raise ProtocolError(f"{name} is given twice")
+    if len(headers) >= MAX_HEADERS:
+        raise ProtocolError(f"more than {MAX_HEADERS} headers")
+    headers[name.lower()] = value.strip()
+
+
+def _parse_start_line(text: str) -> Message:
     parts = text.split(" ")
     if parts[0] == VERSION:
         if len(parts) < 2 or len(parts[1]) != 3:
@@ -140,55 +153,64 @@
     return Message(method=parts[0], address=parts[1])
 
 
-def _path(text: str) -> dict[str, str]:
-    figures: dict[str, str] = {}
+def _parse_path(text: str) -> dict[str, str]:
+    fields: dict[str, str] = {}
     for part in text.split(";"):
         name, colon, value = part.strip().partition(":")
         if not colon or not name:
             raise ProtocolError(f"P-Path has a part that is not name:value: {part[:40]!r}")
-        figures[name] = value
-    return figures
+        fields[name] = value
+    return fields
 
 
 def read_set_up(
     message: Message, now_us: int, terms: Terms, viewer: ViewerConnection | None = None
 ) -> SessionRequested:
-    """The set-up that a SETUP asks for. ``now_us``: when it was read, for its deadline. Guards against
-    figures that no viewer of this site has: a home past the positions would be taken for another title's."""
+    """The set-up that a SETUP requests, checked against the terms of the site.
+
+    Args:
+        message: The request as decoded.
+        now_us: When it was read, from which its deadline counts.
+        terms: What it may name; a home past the positions would be taken for another title's.
+        viewer: The connection on which it came.
+
+    Raises:
+        ProtocolError: It cannot be taken; the text names the header.
+    """
     if message.header("P-Kind") not in terms.classes:
         raise ProtocolError(f"P-Kind is unknown: {message.header('P-Kind')[:40]!r}")
     title = message.address[len(BASE) :]
     if not title:
         raise ProtocolError("address names no title")
-    if len(message.body) + len(title) > MOST_BYTES - EDGE_HEAD:
+    if len(message.body) + len(title) > MOST_BYTES - EDGE_MESSAGE_OVERHEAD:
         raise ProtocolError("description is too long to be passed on")
-    figures = _path(message.header("P-Path"))
+    fields = _parse_path(message.header("P-Path"))
     for name in ("home", "copies", "top"):
-        if name not in figures:
+        if name not in fields:
             raise ProtocolError(f"P-Path has no {name}")
-    left_ms = min(whole(message.header("P-Time-Left"), "P-Time-Left", 0, MOST_LEFT_MS), KEPT_MS)
-    common = {
+    left_ms = min(whole(message.header("P-Time-Left"), "P-Time-Left", 0, MAX_TIME_LEFT_MS), MAX_DEADLINE_MS)
+    common: dict[str, Any] = {
         "session": message.session,
         "session_class": message.header("P-Kind"),
         "title": title,
-        "home_position": whole(figures["home"], "P-Path home", 0, terms.positions - 1),
-        "copies": whole(figures["copies"], "P-Path copies", 1, terms.positions),
-        "highest_rung": whole(figures["top"], "P-Path top", 0, terms.rungs - 1),
+        "home_position": whole(fields["home"], "P-Path home", 0, terms.positions - 1),
+        "copies": whole(fields["copies"], "P-Path copies", 1, terms.positions),
+        "highest_rung": whole(fields["top"], "P-Path top", 0, terms.rungs - 1),
         "deadline_us": now_us + left_ms * 1_000,
-        "length_us": _hint(message.headers.get("x-length")),
-        "viewer": figures.get("viewer", ""),
+        "length_us": _parse_length_us(message.headers.get("x-length")),
+        "viewer": fields.get("viewer", ""),
         "tenant": message.headers.get("p-billed", ""),
-        "moved": figures.get("moved") == "1",
-        "returned": figures.get("again") == "1",
+        "moved": fields.get("moved") == "1",
+        "returned": fields.get("again") == "1",
         "token": message.headers.get(TOKEN, ""),
     }
-    if "at" in figures:
-        return SessionRequested(SessionPlaying(**common, server=figures["at"]), viewer=viewer)  # type: ignore[arg-type]
-    return SessionRequested(SessionRequest(**common), message.body, viewer)  # type: ignore[arg-type]
+    if "at" in fields:
+        return SessionRequested(SessionPlaying(**common, server=fields["at"]), viewer=viewer)
+    return SessionRequested(SessionRequest(**common), message.body, viewer)
 
 
-def _hint(text: str | None) -> float | None:
-    """A hint of the length, in microseconds; one that makes no sense is no hint, and no fault."""
+def _parse_length_us(text: str | None) -> float | None:
+    """A hint of the session's length (given in ms); one that makes no sense is ignored."""
     try:
         value = float(text) * 1_000 if text is not None else math.nan
     except ValueError:
@@ -196,7 +218,7 @@
     return value if math.isfinite(value) and value > 0 else None
 
 
-def _head(first: str, headers: list[tuple[str, str]], body: bytes) -> bytes:
+def _encode(first: str, headers: list[tuple[str, str]], body: bytes) -> bytes:
     lines = [first, *(f"{name}: {value}" for name, value in headers), f"Content-Length: {len(body)}", "", ""]
     return "\r\n".join(lines).encode("ascii", "replace") + body
 
@@ -204,20 +226,21 @@
 def response(
     status: int, cseq: str, session: str = "", body: bytes = b"", gap_ms: int = 0, why: str = ""
 ) -> bytes:
-    """A response; ``why`` goes out as its reason phrase."""
-    phrase = " ".join("".join(each if " " <= each <= "~" else " " for each in why).split())[:120]
+    """A response; ``why`` goes out as its reason phrase, ``gap_ms`` as the time to stay away."""
+    printable = "".join(character if " " <= character <= "~" else " " for character in why)
+    phrase = " ".join(printable.split())[:MAX_REASON_PHRASE]
     headers = [("CSeq", cseq)]
     if session:
         headers.append(("Session", session))
     if gap_ms > 0:
         headers.append(("P-Gap-Ms", str(gap_ms)))
-    return _head(f"{VERSION} {status} {phrase or REASONS[status]}", headers, body)
+    return _encode(f"{VERSION} {status} {phrase or REASONS[status]}", headers, body)
 
 
-def release(session: str, ending: TerminationReason) -> bytes:
-    """The message that a session which stood is over."""
-    cause = CAUSES.get(ending, BREAK)
-    return _head(
+def release(session: str, termination: TerminationReason) -> bytes:
+    """The notice to a viewer that its session has ended."""
+    cause = CAUSES.get(termination, BREAK)
+    return _encode(
         f"TEARDOWN {BASE}{session} {VERSION}",
         [("CSeq", CSEQ["TEARDOWN"]), ("Session", session), ("Reason", f"cause={cause}")],
         b"",
--- a/lotuspick/protocol/site_settings.py
+++ b/lotuspick/protocol/site_settings.py
@@ -1,18 +1,25 @@
-"""The settings of a gateway, read from path=value pairs: the same for the simulator's driver and the daemon.
+"""The site's settings, read from path=value pairs: the same for the simulator and for the broker.
 
-Everything here is checked once; ``ValueError`` names the key at fault. The readers of single fields serve the
-simulator's wire too.
+The keys are the platform's; this module alone maps them to :class:`~lotuspick.core.settings.Settings`.
 """
 
 from __future__ import annotations
 
-import math
+from typing import Any
 
 from lotuspick.core.settings import ClassSettings, RetrySafety, Settings
-
-Fields = dict[str, str]
-
-GROUPS = {"cell": "position"}  # the wire's word for where a title lies, in this one place
+from lotuspick.protocol.key_values import (
+    Fields,
+    WireError,
+    read_decimal,
+    read_flag,
+    read_list,
+    read_whole,
+    required,
+)
+
+RETRY_SCOPES = {"cell": "position"}
+"""The platform's word for where a title lies; other scopes have the same word on both sides."""
 RETRY_SAFETY = {
     "pure": RetrySafety.IDEMPOTENT,
     "token": RetrySafety.KEYED,
@@ -20,69 +27,65 @@
 }
 
 
-class WireError(Exception):
-    """A line that does not follow the wire."""
-
-
-def split(parts: list[str]) -> Fields:
-    fields: Fields = {}
-    for part in parts:
-        name, equals, value = part.partition("=")
-        if not equals or not name:
-            raise WireError(f"{part!r} is not name=value")
-        fields[name] = value
-    return fields
-
-
-def need(fields: Fields, name: str) -> str:
-    try:
-        return fields[name]
-    except KeyError:
-        raise WireError(f"{name} is missing") from None
-
-
-def whole(fields: Fields, name: str, default: int | None = None) -> int:
-    if default is not None and name not in fields:
-        return default
-    text = need(fields, name)
-    try:
-        return int(text)
-    except ValueError:
-        raise WireError(f"{name} is not a whole number: {text!r}") from None
-
+def read_settings(pairs: Fields) -> Settings:
+    """Build the settings.
 
-def decimal(fields: Fields, name: str, default: float | None = None) -> float:
-    if default is not None and name not in fields:
-        return default
-    text = need(fields, name)
+    Raises:
+        ValueError: A pair is missing or malformed; the text names its key.
+    """
     try:
-        value = float(text)
-    except ValueError:
-        raise WireError(f"{name} is not a number: {text!r}") from None
-    if not math.isfinite(value):
-        raise WireError(f"{name} is not a finite number: {text!r}")
-    return value
+        classes = _classes(pairs)
+        tenant_rates = _tenant_rates(pairs)
+        return Settings(
+            zone=required(pairs, "Az"),
+            brokers=read_whole(pairs, "GroupSize"),
+            classes=classes,
+            positions=read_whole(pairs, "FamilyInfo.Cells"),
+            racks=read_whole(pairs, "FamilyInfo.Racks", 1),
+            tenant_rates=tenant_rates,
+            **_ladder(pairs),
+            **_capacity(pairs),
+            **_notifications(pairs),
+            **_limits(pairs),
+            **_slow_start(pairs),
+            **_retry_budget(pairs),
+            **_prices(pairs),
+        )
+    except WireError as error:
+        raise ValueError(f"settings: {error}") from None
 
 
-def loose(text: str | None) -> float | None:
-    """A reading that may be nonsense: None where it is no number at all."""
-    try:
-        return None if text is None else float(text)
-    except ValueError:
-        return None
+def _classes(pairs: Fields) -> list[ClassSettings]:
+    return [_class(pairs, index) for index in range(read_whole(pairs, "Categories.count"))]
 
 
-def listed(fields: Fields, name: str) -> list[str]:
-    text = fields.get(name, "")
-    return text.split(",") if text else []
+def _class(pairs: Fields, index: int) -> ClassSettings:
+    prefix = f"Categories.{index}."
+    retry_safety = required(pairs, prefix + "Repeat")
+    retry_scope = pairs.get(prefix + "KeyScope", "all")
+    return ClassSettings(
+        name=required(pairs, prefix + "Name"),
+        latency_objective_us=read_whole(pairs, prefix + "TargetUs"),
+        retry_safety=_retry_safety(pairs[prefix + "Name"], retry_safety),
+        priority_weight=read_decimal(pairs, prefix + "Worth", 1.0),
+        bitrate_scale=read_decimal(_of_class(pairs, "ClassScale", index, "1"), "FamilyInfo.ClassScale"),
+        lowest_rung=read_whole(_of_class(pairs, "ClassFloor", index, "0"), "FamilyInfo.ClassFloor"),
+        highest_rung=read_whole(_of_class(pairs, "HighestRung", index, "1000"), "FamilyInfo.HighestRung"),
+        title_session_limit=read_whole(_of_class(pairs, "Seats", index, "0"), "FamilyInfo.Seats"),
+        live=read_flag(_of_class(pairs, "Live", index, "false"), "FamilyInfo.Live"),
+        retry_scope=RETRY_SCOPES.get(retry_scope, retry_scope),
+        retry_window_us=read_whole(pairs, prefix + "WindowUs", 0),
+    )
 
 
-def flag(fields: Fields, name: str) -> bool:
-    return fields.get(name, "0") in ("1", "true")
+def _of_class(pairs: Fields, name: str, index: int, default: str) -> Fields:
+    """The entry of one class in a list with an entry for each, under the list's own key."""
+    values = read_list(pairs, f"FamilyInfo.{name}")
+    return {f"FamilyInfo.{name}": values[index] if index < len(values) else default}
 
 
 def _retry_safety(class_name: str, text: str) -> RetrySafety:
-    """The wire's word for whether a class may be repeated; the words of :class:`RetrySafety` are taken as well."""
+    """The platform's word for whether a class may be repeated; those of the enum are taken as well."""
     try:
         return RETRY_SAFETY.get(text) or RetrySafety(text)
     except ValueError:
@@ -90,86 +93,88 @@
         raise ValueError(message) from None
 
 
-def read_settings(pairs: Fields) -> Settings:
-    """Build the settings from the path=value pairs of a start; ``ValueError`` names what is missing."""
-
-    def per_class(name: str, index: int, default: str) -> Fields:
-        values = listed(pairs, f"FamilyInfo.{name}")
-        return {f"FamilyInfo.{name}": values[index] if index < len(values) else default}
-
-    def numbers(name: str) -> list[float]:
-        return [decimal({name: text}, name) for text in listed(pairs, name)]
-
-    try:
-        classes = []
-        for index in range(whole(pairs, "Categories.count")):
-            at = f"Categories.{index}."
-            effect = need(pairs, at + "Repeat")
-            classes.append(
-                ClassSettings(
-                    name=need(pairs, at + "Name"),
-                    latency_objective_us=whole(pairs, at + "TargetUs"),
-                    retry_safety=_retry_safety(need(pairs, at + "Name"), effect),
-                    priority_weight=decimal(pairs, at + "Worth", 1.0),
-                    bitrate_scale=decimal(per_class("ClassScale", index, "1"), "FamilyInfo.ClassScale"),
-                    lowest_rung=whole(per_class("ClassFloor", index, "0"), "FamilyInfo.ClassFloor"),
-                    highest_rung=whole(per_class("HighestRung", index, "1000"), "FamilyInfo.HighestRung"),
-                    title_session_limit=whole(per_class("Seats", index, "0"), "FamilyInfo.Seats"),
-                    live=flag(per_class("Live", index, "false"), "FamilyInfo.Live"),
-                    retry_scope=GROUPS.get(group := pairs.get(at + "KeyScope", "all"), group),
-                    retry_window_us=whole(pairs, at + "WindowUs", 0),
-                )
-            )
-        kinds = listed(pairs, "MachineTypes")
-        places = numbers("FamilyInfo.PlacesByKind")
-        tenants = {
-            need(pairs, f"Projects.{index}.Name"): decimal(pairs, f"Projects.{index}.QuotaPerS", 0.0)
-            for index in range(whole(pairs, "Projects.count", 0))
-        }
-        columns = listed(pairs, "Reporting.Columns")
-        budget = "Invariants.FurtherRatio" in pairs or "Invariants.BudgetFree" in pairs
-        return Settings(
-            zone=need(pairs, "Az"),
-            brokers=whole(pairs, "GroupSize"),
-            classes=classes,
-            ladder_kb_per_s=numbers("FamilyInfo.LevelKb"),
-            rung_values=numbers("FamilyInfo.WorthByRung"),
-            stream_limit_by_kind=dict(zip(kinds, places, strict=False)),
-            positions=whole(pairs, "FamilyInfo.Cells"),
-            racks=whole(pairs, "FamilyInfo.Racks", 1),
-            total_link_kb_per_s=decimal(pairs, "FamilyInfo.LinksKb", 0.0),
-            link_kb_per_weight=decimal(pairs, "FamilyInfo.WeightKb"),
-            weight_kind=pairs.get("WeightKind", "off"),
-            uplink_kb_per_s=decimal(pairs, "FamilyInfo.RackKb", 0.0),
-            rejects_from_load=decimal(pairs, "FamilyInfo.RefusesFrom", 0.0),
-            shared_stream_cost=decimal(pairs, "FamilyInfo.Join", 1.0),
-            notification_delay_us=whole(pairs, "FamilyInfo.SeenAfterUs", 0),
-            notification_interval_us=whole(pairs, "FamilyInfo.TellUs", 0),
-            rung_change_cost_s=decimal(pairs, "FamilyInfo.ChangeCostsS", 0.0),
-            shortfall_cost=decimal(pairs, "FamilyInfo.ShortfallCost", 0.0),
-            max_attempts=whole(pairs, "Limits.AttemptsCap", 1),
-            dial_timeout_us=whole(pairs, "Limits.DialTimeoutUs", 0),
-            drain_grace_us=whole(pairs, "Invariants.DrainGraceUs", 0),
-            slow_start_fraction=decimal(pairs, "Invariants.ColdFrom", 1.0),
-            warm_up_us=whole(pairs, "Invariants.ColdUs", 0),
-            overload_factor=decimal(pairs, "Invariants.OverloadFactor", 1.0),
-            overload_window_us=whole(pairs, "Invariants.TipAfterUs", 1_000_000),
-            retry_budget_floor=decimal(pairs, "Invariants.BudgetFree", 0.0) if budget else None,
-            retry_budget_ratio=decimal(pairs, "Invariants.FurtherRatio", 0.0) if budget else None,
-            retry_budget_window_us=whole(pairs, "Invariants.ResendSpanUs", 0),
-            health_checks_allowed=flag(pairs, "Limits.Probes"),
-            cancel_allowed=flag(pairs, "Limits.Cancel"),
-            retry_after_allowed=flag(pairs, "Limits.RetryAfter"),
-            max_retry_after_us=whole(pairs, "Limits.MaxRetryAfterUs", 0),
-            subscription_required=pairs.get("Discovery") == "subscribe",
-            request_within_us=whole(pairs, "Invariants.MustAskInUs", 0),
-            inline_load_reports=pairs.get("Reporting.How") == "inline",
-            reports_uplink_load=pairs.get("Reporting.How") == "inline" and "x1" in columns,
-            cross_zone_price=decimal(pairs, "Prices.CrossZone", 0.0),
-            migration_price=decimal(pairs, "Prices.Moves", 0.0),
-            health_check_price=decimal(pairs, "Prices.Probe", 0.0),
-            over_quota_value=decimal(pairs, "OverShareWorth", 1.0),
-            tenant_rates=tenants,
-        )
-    except WireError as error:
-        raise ValueError(f"settings: {error}") from None
+def _tenant_rates(pairs: Fields) -> dict[str, float]:
+    return {
+        required(pairs, f"Projects.{index}.Name"): read_decimal(pairs, f"Projects.{index}.QuotaPerS", 0.0)
+        for index in range(read_whole(pairs, "Projects.count", 0))
+    }
+
+
+def _numbers(pairs: Fields, name: str) -> list[float]:
+    return [read_decimal({name: text}, name) for text in read_list(pairs, name)]
+
+
+def _ladder(pairs: Fields) -> dict[str, Any]:
+    return {
+        "ladder_kb_per_s": _numbers(pairs, "FamilyInfo.LevelKb"),
+        "rung_values": _numbers(pairs, "FamilyInfo.WorthByRung"),
+        "shared_stream_cost": read_decimal(pairs, "FamilyInfo.Join", 1.0),
+        "rung_change_cost_s": read_decimal(pairs, "FamilyInfo.ChangeCostsS", 0.0),
+        "shortfall_cost": read_decimal(pairs, "FamilyInfo.ShortfallCost", 0.0),
+    }
+
+
+def _capacity(pairs: Fields) -> dict[str, Any]:
+    kinds = read_list(pairs, "MachineTypes")
+    stream_limits = _numbers(pairs, "FamilyInfo.PlacesByKind")
+    return {
+        "stream_limit_by_kind": dict(zip(kinds, stream_limits, strict=False)),
+        "total_link_kb_per_s": read_decimal(pairs, "FamilyInfo.LinksKb", 0.0),
+        "link_kb_per_weight": read_decimal(pairs, "FamilyInfo.WeightKb"),
+        "weight_kind": pairs.get("WeightKind", "off"),
+        "uplink_kb_per_s": read_decimal(pairs, "FamilyInfo.RackKb", 0.0),
+        "rejects_from_load": read_decimal(pairs, "FamilyInfo.RefusesFrom", 0.0),
+    }
+
+
+def _notifications(pairs: Fields) -> dict[str, Any]:
+    inline = pairs.get("Reporting.How") == "inline"
+    return {
+        "notification_delay_us": read_whole(pairs, "FamilyInfo.SeenAfterUs", 0),
+        "notification_interval_us": read_whole(pairs, "FamilyInfo.TellUs", 0),
+        "inline_load_reports": inline,
+        "reports_uplink_load": inline and "x1" in read_list(pairs, "Reporting.Columns"),
+        "subscription_required": pairs.get("Discovery") == "subscribe",
+        "request_within_us": read_whole(pairs, "Invariants.MustAskInUs", 0),
+    }
+
+
+def _limits(pairs: Fields) -> dict[str, Any]:
+    return {
+        "max_attempts": read_whole(pairs, "Limits.AttemptsCap", 1),
+        "dial_timeout_us": read_whole(pairs, "Limits.DialTimeoutUs", 0),
+        "drain_grace_us": read_whole(pairs, "Invariants.DrainGraceUs", 0),
+        "health_checks_allowed": read_flag(pairs, "Limits.Probes"),
+        "cancel_allowed": read_flag(pairs, "Limits.Cancel"),
+        "retry_after_allowed": read_flag(pairs, "Limits.RetryAfter"),
+        "max_retry_after_us": read_whole(pairs, "Limits.MaxRetryAfterUs", 0),
+    }
+
+
+def _slow_start(pairs: Fields) -> dict[str, Any]:
+    return {
+        "slow_start_fraction": read_decimal(pairs, "Invariants.ColdFrom", 1.0),
+        "warm_up_us": read_whole(pairs, "Invariants.ColdUs", 0),
+        "overload_factor": read_decimal(pairs, "Invariants.OverloadFactor", 1.0),
+        "overload_window_us": read_whole(pairs, "Invariants.TipAfterUs", 1_000_000),
+    }
+
+
+def _retry_budget(pairs: Fields) -> dict[str, Any]:
+    window_us = read_whole(pairs, "Invariants.ResendSpanUs", 0)
+    if "Invariants.FurtherRatio" not in pairs and "Invariants.BudgetFree" not in pairs:
+        return {"retry_budget_window_us": window_us}
+    return {
+        "retry_budget_window_us": window_us,
+        "retry_budget_floor": read_decimal(pairs, "Invariants.BudgetFree", 0.0),
+        "retry_budget_ratio": read_decimal(pairs, "Invariants.FurtherRatio", 0.0),
+    }
+
+
+def _prices(pairs: Fields) -> dict[str, Any]:
+    return {
+        "cross_zone_price": read_decimal(pairs, "Prices.CrossZone", 0.0),
+        "migration_price": read_decimal(pairs, "Prices.Moves", 0.0),
+        "health_check_price": read_decimal(pairs, "Prices.Probe", 0.0),
+        "over_quota_value": read_decimal(pairs, "OverShareWorth", 1.0),
+    }
--- a/lotuspick/simulator.py
+++ b/lotuspick/simulator.py
@@ -1,10 +1,9 @@
-"""Wire codec and loop: many isolated controllers behind one standard input and output.
+"""The simulator's side: many isolated controllers behind one standard input and output.
 
-The text wire comes in as batches of events for numbered instances and goes out as one reply of actions
-each. Nothing is decided here: lines become the events of :mod:`lotuspick.core.events`, and the actions of
-:mod:`lotuspick.core.actions` become
-lines. A malformed line ends the process with a message on standard error; an exception inside one
-instance is reported on the wire as that instance's fault.
+The text wire brings batches of events for numbered instances and takes one reply of actions for each.
+Nothing is decided here: lines become the events of :mod:`lotuspick.core.events`, and the actions of
+:mod:`lotuspick.core.actions` become lines. A malformed line ends the process with a message on standard
+error; an exception inside one instance is reported on the wire as that instance's fault.
 """
 
 from __future__ import annotations
@@ -37,17 +36,17 @@
     TimerFired,
     ViewerDisconnected,
 )
-from lotuspick.protocol.site_settings import (
+from lotuspick.protocol.key_values import (
     Fields,
     WireError,
-    decimal,
-    flag,
-    loose,
-    need,
-    read_settings,
-    split,
-    whole,
+    parse_lenient_number,
+    read_decimal,
+    read_flag,
+    read_whole,
+    required,
+    split_fields,
 )
+from lotuspick.protocol.site_settings import read_settings
 
 STATES = {"active": "active", "leaving": "draining", "left": "gone"}
 FORMS = ("delta", "full", "cached", "failed")
@@ -69,7 +68,7 @@
     report: dict[str, float] = {}
     for pair in fields.get("Metrics", "").split(","):
         name, _, text = pair.partition(":")
-        value = loose(text)
+        value = parse_lenient_number(text)
         if name in COLUMNS and value is not None:
             report[COLUMNS[name]] = value
     return report
@@ -77,18 +76,18 @@
 
 def _session(fields: Fields) -> dict[str, object]:
     return {
-        "session": need(fields, "Tid"),
-        "session_class": need(fields, "Cls"),
+        "session": required(fields, "Tid"),
+        "session_class": required(fields, "Cls"),
         "title": fields.get("Show", ""),
-        "home_position": whole(fields, "FirstCell", 0),
-        "copies": whole(fields, "Copies", 1),
-        "highest_rung": whole(fields, "CeilingRung"),
-        "deadline_us": whole(fields, "DropDeadUs"),
-        "length_us": loose(fields.get("WorkUs")),
+        "home_position": read_whole(fields, "FirstCell", 0),
+        "copies": read_whole(fields, "Copies", 1),
+        "highest_rung": read_whole(fields, "CeilingRung"),
+        "deadline_us": read_whole(fields, "DropDeadUs"),
+        "length_us": parse_lenient_number(fields.get("WorkUs")),
         "tenant": fields.get("Org", ""),
         "viewer": fields.get("Entity", ""),
-        "moved": flag(fields, "Relocated"),
-        "returned": flag(fields, "Returned"),
+        "moved": read_flag(fields, "Relocated"),
+        "returned": read_flag(fields, "Returned"),
     }
 
 
@@ -97,60 +96,68 @@
 
 
 def _playing(fields: Fields) -> Event:
-    return SessionPlaying(**_session(fields), server=need(fields, "Host"))  # type: ignore[arg-type]
+    return SessionPlaying(**_session(fields), server=required(fields, "Host"))  # type: ignore[arg-type]
 
 
 def _ended(fields: Fields) -> Event:
-    outcome = need(fields, "Outcome")
+    outcome = required(fields, "Outcome")
     if outcome not in OUTCOMES:
         raise WireError(f"unknown Outcome {outcome!r}")
     return AttemptEnded(
-        need(fields, "Tid"),
-        whole(fields, "Shot"),
-        need(fields, "Host"),
+        required(fields, "Tid"),
+        read_whole(fields, "Shot"),
+        required(fields, "Host"),
         OUTCOMES[outcome],
-        flag(fields, "NoMore"),
-        whole(fields, "TookUs", 0),
+        read_flag(fields, "NoMore"),
+        read_whole(fields, "TookUs", 0),
         _report(fields),
     )
 
 
 def _note(fields: Fields) -> Event | None:
-    topic, value = TOPICS.get(need(fields, "Topic")), loose(need(fields, "Level"))
+    topic, value = TOPICS.get(required(fields, "Topic")), parse_lenient_number(required(fields, "Level"))
     if topic is None or value is None:
         return None
-    return SessionNotification(need(fields, "Tid"), need(fields, "Host"), topic, value)
+    return SessionNotification(required(fields, "Tid"), required(fields, "Host"), topic, value)
 
 
 def _started(fields: Fields) -> Event:
     return SessionStarted(
-        need(fields, "Tid"), whole(fields, "Shot"), need(fields, "Host"), whole(fields, "TookUs", 0)
+        required(fields, "Tid"),
+        read_whole(fields, "Shot"),
+        required(fields, "Host"),
+        read_whole(fields, "TookUs", 0),
     )
 
 
+def _ignored(_: Fields) -> Event | None:
+    """An event that the decisions have no use for."""
+    return None
+
+
 DECODERS: dict[str, Callable[[Fields], Event | None]] = {
     "KNOCK": _request,
     "PREEXISTING": _playing,
     "UNDER_WAY": _started,
     "RESOLVED": _ended,
     "PROGRESS": _note,
-    "TIMED_OUT_CLIENT": lambda fields: ViewerDisconnected(need(fields, "Tid")),
-    "WAKE": lambda fields: TimerFired(whole(fields, "Handle")),
-    "PEER_DATA": lambda fields: None,
-    "PING_RESULT": lambda fields: None,
+    "TIMED_OUT_CLIENT": lambda fields: ViewerDisconnected(required(fields, "Tid")),
+    "WAKE": lambda fields: TimerFired(read_whole(fields, "Handle")),
+    "PEER_DATA": _ignored,
+    "PING_RESULT": _ignored,
 }
 
 
 def _entry(fields: Fields) -> ServerEntry:
-    state = need(fields, "State")
+    state = required(fields, "State")
     return ServerEntry(
-        need(fields, "Host"),
+        required(fields, "Host"),
         fields.get("Az", ""),
         fields.get("ClassOfHost", ""),
-        whole(fields, "Position", 0),
+        read_whole(fields, "Position", 0),
         STATES.get(state, state),
-        decimal(fields, "Units", 1.0),
-        whole(fields, "SinceUs", 0),
+        read_decimal(fields, "Units", 1.0),
+        read_whole(fields, "SinceUs", 0),
     )
 
 
@@ -179,7 +186,10 @@
     return " ".join(text.split())
 
 
-class Adapter:
+NO_INSTANCE = -1
+
+
+class Simulator:
     """Holds the instances of one process and turns batches into replies."""
 
     def __init__(self) -> None:
@@ -189,92 +199,98 @@
         self.pending: dict[int, list[Event]] = {}
 
     def batch(self, now: int, lines: Iterator[tuple[int, str]]) -> list[str]:
-        """Read the lines of one batch up to its end and return the reply's lines."""
+        """Read the numbered lines of one batch; return the lines of the reply at clock time ``now`` (us)."""
         self.pending, self.faults = {}, {}
-        instance = -1
-        closed = False
+        self._read_batch(lines)
+        reply: list[str] = []
+        for instance in list(self.pending):
+            actions = self._handle(now, instance)
+            if actions:
+                reply.append(f"ON_BEHALF I={instance}")
+                reply.extend(actions)
+        return reply
+
+    def _read_batch(self, lines: Iterator[tuple[int, str]]) -> None:
+        instance = NO_INSTANCE
         for number, line in lines:
             name, *parts = line.split(" ")
             if name == "EOF_BATCH":
-                closed = True
-                break
+                return
             try:
                 if name == "TO":
-                    instance = whole(split(parts), "I")
+                    instance = read_whole(split_fields(parts), "I")
                 elif name == "CATALOG":
-                    self._catalog(split(parts), lines)
-                elif instance < 0:
-                    raise WireError("event before any TO")
+                    self._catalog(split_fields(parts), lines)
                 else:
                     self._event(instance, name, parts)
             except (WireError, ValueError) as error:
                 raise WireError(f"line {number} ({name}): {error}") from None
-        if not closed:
-            raise WireError("end of input inside a batch")
-        reply: list[str] = []
-        for instance in list(self.pending):
-            controller, fault, actions = self.instances.get(instance), self.faults.get(instance), []
-            if controller is not None and fault is None:
-                try:
-                    actions = [encode(action) for action in controller.handle(now, self.pending[instance])]
-                except Exception as error:  # an instance's fault is told on the wire, never swallowed
-                    fault = f"{type(error).__name__}: {error}"
-            if fault is not None:
-                actions = [f"BUG ReasonText={one_line(fault)}"]
-                self.instances[instance] = None
-            if actions:
-                reply.append(f"ON_BEHALF I={instance}")
-                reply.extend(actions)
-        return reply
+        raise WireError("end of input inside a batch")
+
+    def _handle(self, now: int, instance: int) -> list[str]:
+        """The encoded actions of one instance; one that fails is reported, and handles no further event."""
+        controller = self.instances.get(instance)
+        fault = self.faults.get(instance)
+        actions: list[str] = []
+        if controller is not None and fault is None:
+            try:
+                actions = [encode(action) for action in controller.handle(now, self.pending[instance])]
+            except Exception as error:  # noqa: BLE001 - whatever fails is reported on the wire
+                fault = f"{type(error).__name__}: {error}"
+        if fault is None:
+            return actions
+        self.instances[instance] = None
+        return [f"BUG ReasonText={one_line(fault)}"]
 
     def _catalog(self, fields: Fields, lines: Iterator[tuple[int, str]]) -> None:
         entries = []
-        for _ in range(whole(fields, "Rows")):
+        for _ in range(read_whole(fields, "Rows")):
             number, line = next(lines, (0, ""))
             name, *parts = line.split(" ")
             if name != "HOST":
                 raise WireError(f"line {number}: HOST expected, not {name!r}")
-            entries.append(_entry(split(parts)))
-        self.catalogs[whole(fields, "List")] = entries
+            entries.append(_entry(split_fields(parts)))
+        self.catalogs[read_whole(fields, "List")] = entries
 
     def _event(self, instance: int, name: str, parts: list[str]) -> None:
+        if instance < 0:
+            raise WireError("event before any TO")
         events = self.pending.setdefault(instance, [])
         if name == "OPEN_INSTANCE":
-            pairs = split(parts)
+            pairs = split_fields(parts)
             events.clear()
             self.faults.pop(instance, None)
             try:
-                self.instances[instance] = Controller(read_settings(pairs), whole(pairs, "Salt", 0))
+                self.instances[instance] = Controller(read_settings(pairs), read_whole(pairs, "Salt", 0))
             except ValueError as error:
                 self.faults[instance] = str(error)
         elif name == "TEARDOWN":
             events.clear()
             self.instances.pop(instance, None)
         elif name == "DISCOVERY":
-            fields = split(parts)
-            form = need(fields, "Form")
-            if form not in FORMS:
-                raise WireError(f"unknown Form {form!r}")
-            entries: list[ServerEntry] = []
-            if form != "failed":
-                number = whole(fields, "List")
-                if number not in self.catalogs:
-                    raise WireError(f"List {number} was never sent")
-                entries = self.catalogs[number]
-            events.append(
-                ServerListUpdate(entries, complete=form in ("full", "cached"), failed=form == "failed")
-            )
+            events.append(self._server_list(split_fields(parts)))
         elif name in DECODERS:
-            event = DECODERS[name](split(parts))
+            event = DECODERS[name](split_fields(parts))
             if event is not None:
                 events.append(event)
         else:
             raise WireError("unknown message")
 
+    def _server_list(self, fields: Fields) -> ServerListUpdate:
+        form = required(fields, "Form")
+        if form not in FORMS:
+            raise WireError(f"unknown Form {form!r}")
+        if form == "failed":
+            return ServerListUpdate(failed=True)
+        number = read_whole(fields, "List")
+        if number not in self.catalogs:
+            raise WireError(f"List {number} was never sent")
+        return ServerListUpdate(self.catalogs[number], complete=form in ("full", "cached"))
+
 
 def serve(source: TextIO, sink: TextIO) -> None:
     """Answer batches until the input ends."""
-    adapter = Adapter()
+    simulator = Simulator()
     lines = ((number, line.rstrip("\n")) for number, line in enumerate(source, 1))
     for number, line in lines:
         if not line:
@@ -283,10 +299,10 @@
         if name != "ROUND":
             raise WireError(f"line {number} ({name}): ROUND expected")
         try:
-            now = whole(split(parts), "TimeUs")
+            now = read_whole(split_fields(parts), "TimeUs")
         except WireError as error:
             raise WireError(f"line {number} (ROUND): {error}") from None
-        reply = adapter.batch(now, lines)
+        reply = simulator.batch(now, lines)
         reply.append("NEXT\n")
         sink.write("\n".join(reply))
         sink.flush()
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -110,7 +110,9 @@
     def test_nobody_is_waited_for_for_hours(self) -> None:
         message = decode([line.replace(b"1500", b"86400000") for line in HEAD], b"abc")
         assert message is not None
-        self.assertEqual(rtsp.read_set_up(message, 0, TERMS).request.deadline_us, rtsp.KEPT_MS * 1_000)
+        self.assertEqual(
+            rtsp.read_set_up(message, 0, TERMS).request.deadline_us, rtsp.MAX_DEADLINE_MS * 1_000
+        )
 
     def test_what_no_edge_message_could_hold_is_turned_away_at_the_door(self) -> None:
         for size, good in ((MOST_BYTES - 300, True), (MOST_BYTES - 200, False)):
