--- a/lotuspick/program/daemon.py
+++ b/lotuspick/program/daemon.py
@@ -204,7 +204,7 @@
 
     def _changed(self, change: Change) -> None:
         edges = [entry for entry in change.news.servers if entry.server not in self.nodes]
-        self.edges.named(ServerListUpdate(edges, change.news.complete), change.addresses)
+        self.edges.update_endpoints(ServerListUpdate(edges, change.news.complete), change.addresses)
         self.loop.post(EndpointListChanged(change.news))
 
 
--- /dev/null
+++ b/lotuspick/transport/edge_servers/edge_connection.py
@@ -0,0 +1,140 @@
+"""One TCP connection to an edge server: framing, flow control and orderly closing.
+
+The connection belongs to one :class:`~lotuspick.transport.edge_servers.edge_server_client.EdgeServerClient`,
+which is notified of every decoded message and of the end of the connection.
+"""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING, Any
+
+from twisted.internet import interfaces, protocol
+from twisted.protocols.basic import Int16StringReceiver
+from twisted.python.failure import Failure
+from zope.interface import implementer
+
+from lotuspick.protocol import edge_messages as wire
+from lotuspick.protocol.errors import MOST_BYTES, ProtocolError
+from lotuspick.routing.termination import TerminationReason
+from lotuspick.transport.sockets import lost
+
+if TYPE_CHECKING:
+    from lotuspick.transport.edge_servers.edge_server_client import EdgeServerClient
+
+log = logging.getLogger(__name__)
+
+LENGTH_PREFIX_BYTES = 2  # each message is preceded by its length in so many bytes
+LINGER_S = 1.0  # a connection that is being closed, or was replaced, lives so long after its last message
+
+
+@implementer(interfaces.IPushProducer)
+class EdgeConnection(Int16StringReceiver):
+    """One connection to an edge server."""
+
+    transport: Any
+    MAX_LENGTH = MOST_BYTES - LENGTH_PREFIX_BYTES
+
+    def __init__(self, client: EdgeServerClient, address: tuple[str, int] | None = None) -> None:
+        self.client = client
+        self.address = address or client.address  # stays, also when the server's id gets another address
+        self.is_open = False
+        self.write_blocked_since_s: float | None = None
+        self.partial_message_since_s: float | None = None
+        self.last_message_s = 0.0
+        self.close_reason: TerminationReason | None = None  # set where this side closed the connection
+        self._close_timer: Any = None
+
+    def connectionMade(self) -> None:
+        """Register the connection with the pool (Twisted's callback)."""
+        self.is_open = True
+        self.client.pool.connections.add(self)
+        self.last_message_s = self.client.pool.reactor.seconds()
+        self.transport.setTcpNoDelay(True)
+        self.transport.registerProducer(self, True)
+
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
+        """Notify the client that the connection has ended (Twisted's callback)."""
+        self.is_open = False
+        if self._close_timer is not None and self._close_timer.active():
+            self._close_timer.cancel()
+        self.client.pool.connections.discard(self)
+        self.client.connection_closed(self, self.close_reason or lost(reason))
+
+    # ---- closing ------------------------------------------------------------------------------------------
+
+    def half_close(self) -> None:
+        """Stop sending, and close once the other side has closed or after ``LINGER_S``.
+
+        A message that ends a session may be on its way. No other connection would receive it, since the next
+        one is already open, so this one is read until the end.
+        """
+        if self.is_open and self.close_reason is None:
+            self.close_reason = TerminationReason.IDLE
+            self.transport.loseWriteConnection()
+            self._close_timer = self.client.pool.reactor.callLater(
+                LINGER_S, self.drop, TerminationReason.IDLE
+            )
+
+    def close_after_flush(self) -> None:
+        """Close an idle connection once its write buffer is empty, at the latest after ``LINGER_S``.
+
+        The limit frees the descriptor when the peer does not read.
+        """
+        self.close_reason, self.is_open = TerminationReason.IDLE, False
+        self.transport.unregisterProducer()
+        self.transport.loseConnection()
+        self._close_timer = self.client.pool.reactor.callLater(LINGER_S, self.transport.abortConnection)
+
+    def drop(self, reason: TerminationReason, detail: str = "") -> None:
+        """Close at once.
+
+        Args:
+            reason: reported to the client, unless the connection is being closed for another reason already.
+            detail: for the log only.
+        """
+        if self.is_open:
+            log.info(
+                "edge_server_connection_dropped",
+                extra={"server": self.client.server, "reason": reason.value, "detail": detail},
+            )
+            self.close_reason = self.close_reason or reason
+            self.is_open = False
+            self.transport.abortConnection()
+
+    # ---- flow control -------------------------------------------------------------------------------------
+
+    def pauseProducing(self) -> None:
+        """Note since when the edge server does not read (Twisted's callback)."""
+        self.write_blocked_since_s = self.client.pool.reactor.seconds()
+
+    def resumeProducing(self) -> None:
+        """Note that the edge server reads again (Twisted's callback)."""
+        self.write_blocked_since_s = None
+
+    def stopProducing(self) -> None:
+        """Do nothing: ``connectionLost`` follows (Twisted's callback)."""
+
+    # ---- receiving ----------------------------------------------------------------------------------------
+
+    def dataReceived(self, data: bytes) -> None:
+        """Split the stream into messages, and note since when one is incomplete (Twisted's callback)."""
+        super().dataReceived(data)
+        if not self.recvd:
+            self.partial_message_since_s = None
+        elif self.partial_message_since_s is None:
+            self.partial_message_since_s = self.client.pool.reactor.seconds()
+
+    def stringReceived(self, string: bytes) -> None:
+        """Decode one message and hand it to the client (Twisted's callback)."""
+        if not self.is_open:
+            return  # behind a malformed message, for which the connection was dropped
+        self.partial_message_since_s = None
+        try:
+            self.client.message_received(self, wire.decode(string))
+        except ProtocolError as error:
+            self.drop(TerminationReason.MALFORMED, str(error))
+
+    def lengthLimitExceeded(self, length: int) -> None:
+        """Drop the connection: the message is too long (Twisted's callback)."""
+        self.drop(TerminationReason.MALFORMED, f"message of {length} bytes")
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -159,7 +159,7 @@
                     edge.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 edge.close()
                 self.daemon.loop.tick()  # before the close is read
-                self.assertIn(OTHER.hex(), self.daemon.edges.links["s-e0"].open)
+                self.assertIn(OTHER.hex(), self.daemon.edges.clients["s-e0"].sent_attempts)
                 again = self.take()  # the session that stands has it dialled anew
                 self.hears(second, answer)
                 again.settimeout(0.0)
