--- a/lotuspick/program/daemon.py
+++ b/lotuspick/program/daemon.py
@@ -160,7 +160,7 @@
             self.reactor.callLater(0.02, self._stop_when_done, play_until_s, last_s)
         else:  # nothing stands any more: it has ended by itself, or just above
             self.listener.stopListening()
-            self.front.finish()
+            self.front.stop_sending()
             for part in self.parts:
                 part.finish()
             self.reactor.callLater(0.1, self.reactor.stop)  # what was just written leaves first
@@ -168,7 +168,7 @@
     def _unread(self) -> bool:
         """Whether a connection or a message has come that was not looked at yet."""
         return (
-            self.front.unread()
+            self.front.has_unread_input()
             or readable(self.listener.fileno())
             or any(part.unread() for part in self.parts)
         )
--- a/lotuspick/transport/edge_servers/edge_pool.py
+++ b/lotuspick/transport/edge_servers/edge_pool.py
@@ -14,8 +14,9 @@
 from lotuspick.routing.interfaces import AttemptRequest
 from lotuspick.routing.messages import InboundMessage
 from lotuspick.routing.termination import TerminationReason
+from lotuspick.transport.edge_servers.attempts import QueuedAttempt
 from lotuspick.transport.edge_servers.edge_connection import EdgeConnection
-from lotuspick.transport.edge_servers.edge_server_client import EdgeServerClient, QueuedAttempt
+from lotuspick.transport.edge_servers.edge_server_client import EdgeServerClient
 from lotuspick.transport.sockets import Reactor
 
 SWEEP_S = 0.1  # period of the sweep over all clients
--- a/lotuspick/transport/edge_servers/edge_server_client.py
+++ b/lotuspick/transport/edge_servers/edge_server_client.py
@@ -8,7 +8,6 @@
 
 import logging
 from collections import deque
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
 from twisted.internet import protocol
@@ -23,6 +22,7 @@
     EdgeServerReleased,
 )
 from lotuspick.routing.termination import ATTEMPT_OUTCOMES, TerminationReason
+from lotuspick.transport.edge_servers.attempts import QueuedAttempt, SentAttempt
 from lotuspick.transport.edge_servers.edge_connection import LINGER_S, EdgeConnection
 from lotuspick.transport.sockets import dial_failed, now_us
 
@@ -39,32 +39,11 @@
 BRIEF_CONNECTION_S = 1.0  # a connection that ended this early is dialled again by the sweep, not at once
 UNCHECKED_S = 6.0  # longest silence without a check: a failure must be known within 8 s, dials included
 RELEASE_DIAL_LIMIT = 40  # dials that time out before queued releases are dropped
-UNRESPONSIVE_S = 0.3  # no message so long after a set-up: a new connection is opened; most answer in 0.1 s
 PARTIAL_MESSAGE_S = 0.25  # a message that is incomplete for so long will never be completed
 UNCONFIRMED_LIMIT = 64  # set-ups that may have run unconfirmed, to be released on the next connection
 LOGGED_PARAMETERS_CHARS = 200
 
 
-@dataclass(slots=True, eq=False)
-class QueuedAttempt:
-    """A message that waits for a connection; ``session`` is set for a set-up."""
-
-    frame: bytes
-    session: str = ""
-
-
-@dataclass(frozen=True, slots=True)
-class SentAttempt:
-    """A set-up that was written and has no answer yet."""
-
-    connection: EdgeConnection
-    written_s: float
-
-    def is_unresponsive(self, now_s: float) -> bool:
-        """Whether nothing was received since the set-up, for longer than ``UNRESPONSIVE_S``."""
-        return self.connection.last_message_s < self.written_s < now_s - UNRESPONSIVE_S
-
-
 class EdgeServerClient:
     """The connection to one edge server, and the messages that wait for it."""
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -21,7 +21,8 @@
 from lotuspick.protocol import rtsp
 from lotuspick.routing.messages import AttemptAnswered, SessionRequested, ViewerConnectionClosed
 from lotuspick.routing.termination import TerminationReason
-from lotuspick.transport.rtsp.rtsp_server import UNREAD_S, RtspConnection, RtspServer
+from lotuspick.transport.rtsp.rtsp_connection import UNREAD_S, RtspConnection
+from lotuspick.transport.rtsp.rtsp_server import RtspServer
 from lotuspick.transport.sockets import readable
 
 OTHER = bytes.fromhex("0000000000000002")
@@ -180,7 +181,7 @@
                     viewer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 viewer.close()
                 self.daemon.loop.tick()  # the answer is written before the close is read
-                self.until(lambda: len(self.daemon.front.viewers) == 1)
+                self.until(lambda: len(self.daemon.front.connections) == 1)
                 self.until(lambda: not self.daemon.loop.inbox)
                 self.assertTrue(self.daemon.loop.table[ID.hex()].stands, "a session belongs to no connection")
                 edge.sendall(frame(b"\x0c" + ID + b"\x80\x00\x01\x10"))
@@ -237,7 +238,7 @@
         self.assertTrue(viewer.transport.aborted)
         viewer.connectionLost(Failure(error.ConnectionAborted()))
         self.assertEqual(
-            (self.posted, self.front.viewers, self.front.leaving),
+            (self.posted, self.front.connections, self.front.closing),
             ([ViewerConnectionClosed(viewer)], {}, set()),
         )
 
@@ -249,7 +250,7 @@
             lambda each: each.dataReceived(Malformed.WRONG * 9),
             lambda each: each.dataReceived(b"x\r\n"),
             lambda each: each.drop(TerminationReason.CONNECTION_LIMIT),
-            lambda each: each.say_no_more(),
+            lambda each: each.stop_sending(),
         ):
             viewer = self.come()
             way(viewer)
--- a/tests/test_edge_servers.py
+++ b/tests/test_edge_servers.py
@@ -12,8 +12,8 @@
 
 from lotuspick.protocol import edge_messages
 from lotuspick.routing.termination import TerminationReason
+from lotuspick.transport.edge_servers.attempts import UNRESPONSIVE_S, SentAttempt
 from lotuspick.transport.edge_servers.edge_connection import LINGER_S, EdgeConnection
-from lotuspick.transport.edge_servers.edge_server_client import UNRESPONSIVE_S, SentAttempt
 
 SESSION = "0123456789abcdef"
 
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -33,7 +33,9 @@
     def test_the_rest_of_a_message_that_lies_here_is_in_time(self) -> None:
         viewer, whole = self.call(), SETUP % 9_000
         viewer.sendall(whole[:60])
-        self.until(lambda: any(each._buffer or each._decoder.part_way for each in self.daemon.front.viewers))
+        self.until(
+            lambda: any(each._buffer or each._decoder.part_way for each in self.daemon.front.connections)
+        )
         viewer.sendall(whole[60:])
         self.held_up(2.2)
         self.timers()
@@ -42,10 +44,10 @@
     def test_one_that_is_late_all_the_same_is_closed(self) -> None:
         viewer = self.call()
         viewer.sendall((SETUP % 9_000)[:60])
-        self.until(lambda: self.daemon.front.viewers)
+        self.until(lambda: self.daemon.front.connections)
         self.held_up(2.2)
         self.timers()
-        self.until(lambda: not self.daemon.front.viewers)
+        self.until(lambda: not self.daemon.front.connections)
 
     def test_what_came_before_an_end_and_was_not_looked_at_is_served(self) -> None:
         """A connection that waits to be taken, and one on which a request waits to be read."""
@@ -76,8 +78,8 @@
         viewer = self.call()
         viewer.sendall(SETUP % 9_000)
         viewer.close()
-        self.until(lambda: self.daemon.front.viewers)
-        self.until(lambda: not self.daemon.front.viewers)
+        self.until(lambda: self.daemon.front.connections)
+        self.until(lambda: not self.daemon.front.connections)
         self.until(lambda: not self.daemon.loop.inbox)
         self.assertEqual((self.daemon.loop.table, self.daemon.loop.open_set_ups), ({}, 0))
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -39,10 +39,12 @@
     ViewerConnectionOpened,
 )
 from lotuspick.routing.termination import ATTEMPT_OUTCOMES, TerminationReason
+from lotuspick.transport.edge_servers.attempts import QueuedAttempt, SentAttempt
 from lotuspick.transport.edge_servers.edge_connection import EdgeConnection
 from lotuspick.transport.edge_servers.edge_pool import EdgeLimits, EdgePool
-from lotuspick.transport.edge_servers.edge_server_client import EdgeServerClient, QueuedAttempt, SentAttempt
-from lotuspick.transport.rtsp.rtsp_server import RtspConnection, RtspServer
+from lotuspick.transport.edge_servers.edge_server_client import EdgeServerClient
+from lotuspick.transport.rtsp.rtsp_connection import RtspConnection
+from lotuspick.transport.rtsp.rtsp_server import RtspServer
 
 ID = "9b1f03aa5c7e2d41"
 TERMS = rtsp.Terms(frozenset({"paid"}), positions=12, rungs=5)
@@ -410,7 +412,7 @@
             lambda: True,
             Mock(),
             64,
-            lambda most: [each for each in made.viewers if each.is_open][:most],
+            lambda most: [each for each in made.connections if each.is_open][:most],
         )
         before = [come() for _ in range(64)]
         after = [come() for _ in range(3)]
@@ -420,7 +422,7 @@
         for each in closed:
             each.connectionLost(Failure(error.ConnectionAborted()))
         self.assertEqual(
-            (len(made.viewers), made.leaving, [each.is_open for each in after]), (64, set(), [True] * 3)
+            (len(made.connections), made.closing, [each.is_open for each in after]), (64, set(), [True] * 3)
         )
 
 
--- /dev/null
+++ b/tests/test_rtsp_server.py
@@ -0,0 +1,80 @@
+"""The RTSP server and one of its connections, each by itself, on a clock of the test's."""
+
+from __future__ import annotations
+
+import unittest
+from typing import Any
+from unittest.mock import Mock, patch
+
+from twisted.internet import error
+from twisted.internet.task import Clock
+from twisted.python.failure import Failure
+
+from lotuspick.protocol import rtsp
+from lotuspick.transport.rtsp.rtsp_connection import BACKPRESSURE_S, MALFORMED_LIMIT, RtspConnection
+from lotuspick.transport.rtsp.rtsp_server import ACCEPT_RETRY_S, HEADROOM_DIVISOR, RtspServer
+
+LIMIT = 16
+MALFORMED = (
+    f"SETUP {rtsp.BASE}x {rtsp.VERSION}\r\nCSeq: 1\r\nContent-Length: 0\r\n\r\n".encode()
+)  # no session
+
+
+class Servers(unittest.TestCase):
+    def setUp(self) -> None:
+        self.clock, self.posted = Clock(), list[Any]()
+        self.server = RtspServer(
+            self.clock,
+            self.posted.append,
+            lambda: True,
+            rtsp.Terms(frozenset(), 1, 1),
+            LIMIT,
+            lambda maximum: [],
+        )
+
+    def connect(self) -> RtspConnection:
+        connection = self.server.buildProtocol(None)
+        connection.makeConnection(Mock(fileno=Mock(return_value=-1), disconnecting=False))
+        return connection
+
+    def test_accepting_pauses_at_the_headroom_and_resumes_with_the_first_that_is_gone(self) -> None:
+        port: Any = Mock(connected=True)
+        self.server.port = port
+        connections = [self.connect() for _ in range(LIMIT + LIMIT // HEADROOM_DIVISOR - 1)]
+        port.stopReading.assert_not_called()
+        connections.append(self.connect())
+        port.stopReading.assert_called_once_with()
+        self.clock.advance(ACCEPT_RETRY_S)
+        port.startReading.assert_not_called()
+        connections[0].connectionLost(Failure(error.ConnectionDone()))
+        port.startReading.assert_called_once_with()
+
+    def test_ended_connection_is_closing_until_its_socket_is_gone(self) -> None:
+        connection = self.connect()
+        connection.stop_sending()
+        self.assertEqual((set(self.server.connections), self.server.closing), ({connection}, {connection}))
+        connection.connectionLost(Failure(error.ConnectionDone()))
+        self.assertEqual((self.server.connections, self.server.closing), ({}, set()))
+
+    def test_malformed_messages_over_the_limit_pause_reading_for_a_moment(self) -> None:
+        connection = self.connect()
+        connection.dataReceived(MALFORMED * MALFORMED_LIMIT)
+        connection.transport.pauseProducing.assert_not_called()
+        connection.dataReceived(MALFORMED * 3)
+        connection.transport.pauseProducing.assert_called_once_with()
+        self.assertEqual(connection.transport.write.call_count, MALFORMED_LIMIT + 1)
+        self.assertEqual(connection.poll_descriptor, -1)
+        self.clock.advance(BACKPRESSURE_S)
+        self.assertEqual(connection.transport.write.call_count, MALFORMED_LIMIT + 2)
+
+    def test_viewer_that_hung_up_under_backpressure_is_dropped(self) -> None:
+        connection = self.connect()
+        connection.dataReceived(MALFORMED * (MALFORMED_LIMIT + 1))
+        with patch("lotuspick.transport.rtsp.rtsp_connection.hung_up", return_value=True):
+            self.clock.advance(BACKPRESSURE_S)
+        connection.transport.abortConnection.assert_called_once_with()
+        self.assertFalse(connection.is_open)
+
+
+if __name__ == "__main__":
+    unittest.main()
