--- a/lotuspick/lab/fleet/rig.py
+++ b/lotuspick/lab/fleet/rig.py
@@ -24,7 +24,7 @@
 
 from lotuspick.lab.fleet.relay import Relays
 from lotuspick.lab.net.story import Fault
-from lotuspick.transport.control_port import ControlPortError, ask
+from lotuspick.transport.control_port import ControlPortError, send_request
 
 PATIENCE_S = 60.0
 SETTINGS: dict[str, Any] = {
@@ -407,7 +407,7 @@
 
     def ask(self, at: int, what: str, **more: str) -> dict[str, Any]:
         """What a running broker answers its operators. Raises :class:`ControlPortError`."""
-        return ask(("127.0.0.1", self.controls[at].number), {"ask": what, **more}, 10.0)
+        return send_request(("127.0.0.1", self.controls[at].number), {"ask": what, **more}, 10.0)
 
     def seen(self, at: int) -> dict[str, str]:
         """The states of all members as a broker believes; empty where it does not answer."""
--- a/lotuspick/program/commands/members.py
+++ b/lotuspick/program/commands/members.py
@@ -11,7 +11,7 @@
 
 from lotuspick.program import configuration
 from lotuspick.program.configuration import ConfigError
-from lotuspick.transport.control_port import ControlPortError, ask
+from lotuspick.transport.control_port import ControlPortError, send_request
 
 app = typer.Typer(
     help="The brokers of a fleet.", no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False
@@ -41,13 +41,13 @@
             host, _, port = control.rpartition(":")
             if not host or not port.isdigit():
                 raise ConfigError(f"--control must be HOST:PORT, not {control!r}")
-            return ask((host, int(port)), dict(what))
+            return send_request((host, int(port)), dict(what))
         told = configuration.read_peers(peers)
         if told is None or told.control is None:
             raise ConfigError(
                 f"{peers or configuration.DEFAULT_PEERS}: peers are off, or control names no address"
             )
-        return ask(told.control, dict(what))
+        return send_request(told.control, dict(what))
     except (ConfigError, ControlPortError) as fault:
         typer.echo(f"lotuspick: {fault}", err=True)
         raise typer.Exit(2) from None
--- a/lotuspick/transport/control_port.py
+++ b/lotuspick/transport/control_port.py
@@ -1,4 +1,7 @@
-"""The port at which a running broker answers its operators' commands: a JSON object a line each way, on loopback."""
+"""The control port, where a running broker answers operators' commands.
+
+It listens on loopback. Request and response are a JSON object each, on one line.
+"""
 
 from __future__ import annotations
 
@@ -16,71 +19,96 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_S, MOST_LINE, MOST_OPEN = 10.0, 4_096, 16
-Answer = Callable[[dict[str, Any]], dict[str, Any]]
+IDLE_S = 10.0  # a connection without a request for so long is closed
+REQUEST_LIMIT_BYTES = 4_096
+CONNECTION_LIMIT = 16
+Handler = Callable[[dict[str, Any]], dict[str, Any]]
+"""Answers one request; may raise :class:`ControlPortError`."""
 
 
 class ControlPortError(Exception):
-    """What was asked cannot be done, or nobody answers; the text says why."""
+    """A request cannot be served, or no broker answers; the text states the reason."""
 
 
-class Operator(LineOnlyReceiver, TimeoutMixin):
-    """One connection of a command."""
+class ControlConnection(LineOnlyReceiver, TimeoutMixin):
+    """One connection of a command-line command."""
 
     delimiter = b"\n"
-    MAX_LENGTH = MOST_LINE
+    MAX_LENGTH = REQUEST_LIMIT_BYTES
     factory: ControlPort
     transport: Any
 
     def connectionMade(self) -> None:
+        """Count the connection, and drop it if there are too many (Twisted's callback)."""
         self.setTimeout(IDLE_S)
-        self.factory.up += 1
-        if self.factory.up > MOST_OPEN:
+        self.factory.open_connections += 1
+        if self.factory.open_connections > CONNECTION_LIMIT:
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Any = protocol.connectionDone) -> None:
+        """Count the connection no more (Twisted's callback)."""
+        del reason
         self.setTimeout(None)
-        self.factory.up -= 1
+        self.factory.open_connections -= 1
 
     def lineReceived(self, line: bytes) -> None:
+        """Answer one request (Twisted's callback)."""
         self.resetTimeout()
         try:
-            told = json.loads(line)
-            if not isinstance(told, dict):
-                raise ControlPortError("not a JSON object")
-            answer = self.factory.answer(told)
-        except (ValueError, ControlPortError) as fault:
-            answer = {"fault": str(fault)}
-        self.sendLine(json.dumps(answer).encode())
+            response = self.factory.handler(_request(line))
+        except (ValueError, ControlPortError) as error:
+            response = {"fault": str(error)}
+        self.sendLine(json.dumps(response).encode())
 
 
 class ControlPort(protocol.Factory):
-    """Takes what is asked to ``answer``, which may raise :class:`ControlPortError`."""
+    """The listening side; passes each request to ``handler``."""
 
-    protocol: Any = Operator
+    protocol: Any = ControlConnection
     noisy = False
 
-    def __init__(self, answer: Answer) -> None:
-        self.answer, self.up = answer, 0
+    def __init__(self, handler: Handler) -> None:
+        self.handler, self.open_connections = handler, 0
 
     def listen(self, reactor: Reactor, host: str, port: int) -> Any:
-        """Raises Twisted's ``CannotListenError`` where the port is taken."""
+        """Listen; returns Twisted's port.
+
+        Raises:
+            CannotListenError: Twisted's; the port is in use.
+        """
         return reactor.listenTCP(port, self, interface=host)
 
 
-def ask(address: tuple[str, int], what: dict[str, Any], patience_s: float = 5.0) -> dict[str, Any]:
-    """Ask a running broker, and wait. Raises :class:`ControlPortError`."""
+def send_request(address: tuple[str, int], request: dict[str, Any], timeout_s: float = 5.0) -> dict[str, Any]:
+    """Send a request to a running broker, and wait for its response.
+
+    Raises:
+        ControlPortError: no broker answers, or it rejects the request.
+    """
+    response = _exchange(address, json.dumps(request).encode() + b"\n", timeout_s)
+    if not isinstance(response, dict):
+        raise ControlPortError(str(response))
+    if "fault" in response:
+        raise ControlPortError(str(response["fault"]))
+    return response
+
+
+def _exchange(address: tuple[str, int], line: bytes, timeout_s: float) -> Any:
     try:
         with (
-            socket.create_connection(address, patience_s) as connection,
+            socket.create_connection(address, timeout_s) as connection,
             connection.makefile("rwb") as stream,
         ):
-            stream.write(json.dumps(what).encode() + b"\n")
+            stream.write(line)
             stream.flush()
-            line = stream.readline()
-        answer = json.loads(line) if line else {"fault": "the broker closed the connection"}
+            received = stream.readline()
+        return json.loads(received) if received else {"fault": "the broker closed the connection"}
     except (OSError, ValueError) as error:
-        raise ControlPortError(f"no answer from {address[0]}:{address[1]}: {error}") from None
-    if not isinstance(answer, dict) or "fault" in answer:
-        raise ControlPortError(str(answer.get("fault", answer) if isinstance(answer, dict) else answer))
-    return answer
+        raise ControlPortError(f"no answer from {address[0]}:{address[1]}: {error}") from error
+
+
+def _request(line: bytes) -> dict[str, Any]:
+    request = json.loads(line)
+    if not isinstance(request, dict):
+        raise ControlPortError("not a JSON object")
+    return request
--- a/lotuspick/transport/directory.py
+++ b/lotuspick/transport/directory.py
@@ -1,7 +1,7 @@
-"""Tenants from an LDAP directory.
+"""Tenants and their request rates from an LDAP directory.
 
-The client library is imported where it is used: it takes a sixth of the program's start, and most sites have
-no directory.
+The client library is imported inside functions: it would take a sixth of the program's start, and most sites
+have no directory.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 from lotuspick.routing.interfaces import TenantDirectoryError
 
-TIMEOUT_S = 5
-PAGE = 500
+TIMEOUT_S = 5  # for connecting and for each response
+PAGE_ENTRIES = 500  # entries of one page of results
 
 
 @dataclass(frozen=True, slots=True)
 class LdapConfig:
-    """Where the tenants are, and in which attributes."""
+    """The directory's address, the search for tenants and the attributes to read."""
 
     url: str
     base: str
@@ -31,7 +31,7 @@
 
 
 def connect(config: LdapConfig) -> Any:
-    """A bound connection; anonymous without a name."""
+    """Open and bind a connection; anonymous if ``bind_dn`` is empty."""
     import ldap3
 
     server = ldap3.Server(config.url, connect_timeout=TIMEOUT_S)
@@ -46,40 +46,50 @@
 
 
 class LdapDirectory:
-    """A :class:`lotuspick.routing.interfaces.TenantDirectory`; each reading has a connection of its own."""
+    """A :class:`lotuspick.routing.interfaces.TenantDirectory`; opens a connection for each reading."""
 
     def __init__(self, config: LdapConfig, connector: Callable[[LdapConfig], Any] = connect) -> None:
         self.config, self.connector = config, connector
 
     def rates(self) -> dict[str, float]:
-        import ldap3
+        """Requests a second of each tenant, by name. Blocks.
+
+        Raises:
+            TenantDirectoryError: the directory cannot be read, or an entry has no valid name or rate.
+        """
         from ldap3.core.exceptions import LDAPException
 
-        config = self.config
         try:
-            connection = self.connector(config)
-            try:
-                entries = list(
-                    connection.extend.standard.paged_search(
-                        config.base,
-                        config.filter,
-                        ldap3.SUBTREE,
-                        paged_size=PAGE,
-                        generator=True,
-                        attributes=[config.name_attribute, config.rate_attribute],
-                    )
-                )
-            finally:
-                connection.unbind()
+            entries = self._search()
         except (LDAPException, OSError) as error:
-            raise TenantDirectoryError(f"{config.url}: {error}") from None
-        found = {}
+            raise TenantDirectoryError(f"{self.config.url}: {error}") from error
+        rates = {}
         for entry in entries:
             if "attributes" not in entry:
                 continue  # a referral
-            name = _first(entry, config.name_attribute)
-            found[name] = _rate(_first(entry, config.rate_attribute), entry["dn"], config.rate_attribute)
-        return found
+            name = _first(entry, self.config.name_attribute)
+            text = _first(entry, self.config.rate_attribute)
+            rates[name] = _rate(text, entry["dn"], self.config.rate_attribute)
+        return rates
+
+    def _search(self) -> list[dict[str, Any]]:
+        import ldap3
+
+        config = self.config
+        connection = self.connector(config)
+        try:
+            return list(
+                connection.extend.standard.paged_search(
+                    config.base,
+                    config.filter,
+                    ldap3.SUBTREE,
+                    paged_size=PAGE_ENTRIES,
+                    generator=True,
+                    attributes=[config.name_attribute, config.rate_attribute],
+                )
+            )
+        finally:
+            connection.unbind()
 
 
 def _first(entry: dict[str, Any], attribute: str) -> str:
--- a/lotuspick/transport/edge_servers/edge_connection.py
+++ b/lotuspick/transport/edge_servers/edge_connection.py
@@ -17,7 +17,7 @@
 from lotuspick.protocol import edge_messages as wire
 from lotuspick.protocol.errors import MOST_BYTES, ProtocolError
 from lotuspick.routing.termination import TerminationReason
-from lotuspick.transport.sockets import lost
+from lotuspick.transport.sockets import loss_reason
 
 if TYPE_CHECKING:
     from lotuspick.transport.edge_servers.edge_server_client import EdgeServerClient
@@ -59,7 +59,7 @@
         if self._close_timer is not None and self._close_timer.active():
             self._close_timer.cancel()
         self.client.pool.connections.discard(self)
-        self.client.connection_closed(self, self.close_reason or lost(reason))
+        self.client.connection_closed(self, self.close_reason or loss_reason(reason))
 
     # ---- closing ------------------------------------------------------------------------------------------
 
--- a/lotuspick/transport/edge_servers/edge_server_client.py
+++ b/lotuspick/transport/edge_servers/edge_server_client.py
@@ -24,7 +24,7 @@
 from lotuspick.routing.termination import ATTEMPT_OUTCOMES, TerminationReason
 from lotuspick.transport.edge_servers.attempts import QueuedAttempt, SentAttempt
 from lotuspick.transport.edge_servers.edge_connection import LINGER_S, EdgeConnection
-from lotuspick.transport.sockets import dial_failed, now_us
+from lotuspick.transport.sockets import dial_failure_reason, now_us
 
 if TYPE_CHECKING:
     from lotuspick.transport.edge_servers.edge_pool import EdgePool
@@ -151,7 +151,7 @@
         done = endpoint.connect(factory)
         done.addCallbacks(
             self._on_connected,
-            lambda failure: self._on_dial_failed(dial_failed(failure), address),
+            lambda failure: self._on_dial_failed(dial_failure_reason(failure), address),
             callbackArgs=(address,),
         )
         done.addErrback(self._on_dial_error)
--- a/lotuspick/transport/endpoint_watch.py
+++ b/lotuspick/transport/endpoint_watch.py
@@ -1,6 +1,6 @@
-"""The coordinator's feed: a long poll that is asked again at once, whatever happens to it.
+"""The watch on the coordinator's endpoint list: a long poll, repeated for as long as the broker serves.
 
-HTTP is read by h11, which is a fifth of Twisted's agent in memory: a broker holds this for as long as it serves.
+HTTP is parsed by h11, which takes a fifth of the memory of Twisted's agent.
 """
 
 from __future__ import annotations
@@ -21,45 +21,64 @@
 
 log = logging.getLogger(__name__)
 
-WAIT_MS = 1_000  # how long an answer may take that has nothing to tell; short, so that silence shows soon
-GRACE_S = 0.75  # an answer later than the wait by this has been lost with its connection
-AGAIN_S = 0.1  # pause after a failure, so that a coordinator that refuses is not asked in a tight loop
-TRIES = (
-    3  # so often a malformed update is asked for before it is passed over: it may have been spoilt on its way
+WAIT_MS = (
+    1_000  # the coordinator answers after so long if nothing changed; short, so that a failure shows soon
 )
+GRACE_S = 0.75  # a response that is later than the wait by this was lost with its connection
+RETRY_S = 0.1  # pause after a failure, so that a coordinator that refuses is not polled in a tight loop
+MALFORMED_POLLS = (
+    3  # polls for a malformed update until it is skipped: it may be corrupt in one response only
+)
+HTTP_OK = 200
 
 
 class LongPollConnection(protocol.Protocol):
-    """One connection: one question at a time, and the next on the same connection where the answer allows it."""
+    """One HTTP connection: one request at a time; it is kept alive if the response allows it."""
 
     transport: Any
 
     def __init__(self, host: str) -> None:
-        self.host, self.up = host, True
+        self.host, self.is_open = host, True
         self.http = h11.Connection(h11.CLIENT, MOST_BYTES)
-        self.asked: Deferred[bytes] | None = None
+        self.response: Deferred[bytes] | None = None  # of the request under way
         self.status, self.body = 0, b""
 
-    def ask(self, target: str) -> Deferred[bytes]:
-        """The body of the answer; fails with :class:`ProtocolError` or with how the connection ended."""
-        asked: Deferred[bytes] = Deferred(lambda _: self._abandon())
-        self.asked = asked
+    def get(self, target: str) -> Deferred[bytes]:
+        """Send a request; returns the body of its response.
+
+        The result fails with :class:`ProtocolError`, or with the reason for which the connection ended.
+        """
+        response: Deferred[bytes] = Deferred(lambda _: self._abort())
+        self.response = response
         self.status, self.body = 0, b""
-        question = h11.Request(method="GET", target=target, headers=[("Host", self.host)])
-        self.transport.write((self.http.send(question) or b"") + (self.http.send(h11.EndOfMessage()) or b""))
-        return asked
+        request = h11.Request(method="GET", target=target, headers=[("Host", self.host)])
+        self.transport.write((self.http.send(request) or b"") + (self.http.send(h11.EndOfMessage()) or b""))
+        return response
+
+    def close(self) -> None:
+        """Close in order; no request follows on this connection."""
+        self.is_open = False
+        self.transport.loseConnection()
 
     def dataReceived(self, data: bytes) -> None:
+        """Parse a part of a response (Twisted's callback)."""
         try:
             self.http.receive_data(data)
             while self._read(self.http.next_event()):
                 pass
         except (h11.RemoteProtocolError, ProtocolError) as error:
             self._finish(Failure(ProtocolError(str(error))))
-            self._abandon()
+            self._abort()
+
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
+        """End the request under way (Twisted's callback)."""
+        self.is_open = False
+        if self.status:
+            self.dataReceived(b"")  # a response that ends with its connection is complete now
+        self._finish(reason)
 
     def _read(self, event: Any) -> bool:
-        """Take one event; whether another may be ready."""
+        """Take one event of h11; returns whether another may be ready."""
         match event:
             case h11.Response():
                 self.status = event.status_code
@@ -71,110 +90,105 @@
                 if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
                     self.http.start_next_cycle()
                 else:
-                    self.leave()
-                self._finish(
-                    self.body if self.status == 200 else Failure(ProtocolError(f"status {self.status}"))
-                )
+                    self.close()
+                ok = self.status == HTTP_OK
+                self._finish(self.body if ok else Failure(ProtocolError(f"status {self.status}")))
             case h11.InformationalResponse():
                 pass
-            case _:  # more has to come, or nothing more will
+            case _:  # needs more data, or the connection is closed
                 return False
         return True
 
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
-        self.up = False
-        if self.status:
-            self.dataReceived(b"")  # an answer that ends with its connection is whole now
-        self._finish(reason)
-
     def _finish(self, result: bytes | Failure) -> None:
-        asked, self.asked = self.asked, None
-        if asked is not None and not asked.called:
-            asked.callback(result)
-
-    def leave(self) -> None:
-        """Close it in order; nothing is asked on it any more."""
-        self.up = False
-        self.transport.loseConnection()
+        response, self.response = self.response, None
+        if response is not None and not response.called:
+            response.callback(result)
 
-    def _abandon(self) -> None:
-        self.up = False
+    def _abort(self) -> None:
+        self.is_open = False
         self.transport.abortConnection()
 
 
 class EndpointWatch:
-    """Follows the coordinator from an index on."""
+    """Follows the coordinator's endpoint list from an index on.
+
+    ``notify`` is called with each change, in order, on the reactor's thread.
+    """
 
     def __init__(
-        self, reactor: Reactor, address: str, index: int, tell: Callable[[wire.Change], None]
+        self, reactor: Reactor, address: str, index: int, notify: Callable[[wire.Change], None]
     ) -> None:
-        self.reactor, self.address, self.index, self.tell = reactor, address, index, tell
-        self.failing = self.moved = False
-        self.asked: Deferred[bytes] | None = None
-        self.link: LongPollConnection | None = None
-        self.kept = False  # whether the last question went out on a connection that was open already
-        self.spoilt = 0  # answers in a row in which an update was malformed
-        self.asked_s = 0.0
+        self.reactor, self.address, self.index, self.notify = reactor, address, index, notify
+        self.failing = False
+        self.moved = False  # since the last poll began
+        self.request: Deferred[bytes] | None = None
+        self.connection: LongPollConnection | None = None
+        self.connection_reused = False  # the last request went out on a connection that was open already
+        self.malformed_polls = 0  # in a row
+        self.polled_s = 0.0
+
+    def poll(self) -> None:
+        """Request what is later than the last index, and so on without end."""
+        self.moved, self.polled_s = False, self.reactor.seconds()
+        connection = self.connection
+        self.connection_reused = connection is not None and connection.is_open
+        if connection is not None and connection.is_open:
+            request = self._follow(connection)
+        else:
+            request = self._connect().addCallback(self._follow)
+        self.request = request
+        request.addTimeout(WAIT_MS / 1_000 + GRACE_S, self.reactor)
+        request.addCallbacks(self._read, self._failed)
+        request.addErrback(self._failed)
 
     def move(self, address: str) -> None:
-        """Follow another coordinator from the same index on. Guards against a wait at the old one that tells
-        nothing more: it is given up, and the new one is asked at once."""
+        """Follow another coordinator from the same index on.
+
+        The request at the old one is cancelled, and the new one is polled at once.
+        """
         if address == self.address:
             return
         self.address, self.moved = address, True
-        if self.asked is not None:
-            self.asked.cancel()
-        if self.link is not None and self.link.up:
-            self.link.leave()
-
-    def poll(self) -> None:
-        """Ask for what is later than the last index; never stops."""
-        self.moved, self.asked_s = False, self.reactor.seconds()
-        self.kept = self.link is not None and self.link.up
-        if self.link is not None and self.link.up:
-            asked = self._ask(self.link)
-        else:
-            host, port = wire.address(self.address)
-            links: Any = protocol.Factory.forProtocol(lambda: LongPollConnection(self.address))
-            asked = (
-                TCP4ClientEndpoint(self.reactor, host, port, timeout=GRACE_S)
-                .connect(links)
-                .addCallback(self._ask)
-            )
-        self.asked = asked
-        asked.addTimeout(WAIT_MS / 1_000 + GRACE_S, self.reactor)
-        asked.addCallbacks(self._read, self._failed)
-        asked.addErrback(self._failed)
-
-    def _ask(self, link: LongPollConnection) -> Deferred[bytes]:
-        self.link = link
-        return link.ask(f"/v2/stream?follow={self.index}&wait_ms={WAIT_MS}")
+        if self.request is not None:
+            self.request.cancel()
+        if self.connection is not None and self.connection.is_open:
+            self.connection.close()
+
+    def _connect(self) -> Deferred[Any]:
+        host, port = wire.address(self.address)
+        factory: Any = protocol.Factory.forProtocol(lambda: LongPollConnection(self.address))
+        endpoint = TCP4ClientEndpoint(self.reactor, host, port, timeout=GRACE_S)
+        connected: Deferred[Any] = endpoint.connect(factory)
+        return connected
+
+    def _follow(self, connection: LongPollConnection) -> Deferred[bytes]:
+        self.connection = connection
+        return connection.get(f"/v2/stream?follow={self.index}&wait_ms={WAIT_MS}")
 
     def _read(self, body: bytes) -> None:
         answer = wire.parse(body, self.index)
-        self.spoilt = self.spoilt + 1 if answer.faults else 0
-        if 0 < self.spoilt < TRIES:
-            # Guards against a drain that is never heard of: passed over, what the update told is not told again.
+        self.malformed_polls = self.malformed_polls + 1 if answer.faults else 0
+        if 0 < self.malformed_polls < MALFORMED_POLLS:
+            # A skipped update is never sent again, and it may be the one that drains a server.
             raise ProtocolError(answer.faults[0])
-        for fault in answer.faults:
-            log.error("malformed update passed over", extra={"fault": fault})
+        for error_text in answer.faults:
+            log.error("endpoint_update_skipped", extra={"error": error_text})
         for change in answer.changes:
-            self.tell(change)
-        self.spoilt, before, self.index = 0, self.index, max(self.index, answer.last)
+            self.notify(change)
+        self.malformed_polls, previous, self.index = 0, self.index, max(self.index, answer.last)
         if self.failing:
-            log.info("coordinator answers again", extra={"index": self.index})
+            log.info("endpoint_watch_recovered", extra={"index": self.index})
             self.failing = False
-        # Guards against a tight loop with a coordinator that does not wait though it has nothing to tell.
-        early = self.index == before and self.reactor.seconds() - self.asked_s < AGAIN_S
-        self.reactor.callLater(AGAIN_S if early else 0, self.poll)
-
-    def _failed(self, reason: Failure) -> None:
-        if self.kept and reason.check(error.ConnectionDone, error.ConnectionLost):
-            self.reactor.callLater(
-                0, self.poll
-            )  # it was closed as the question went out: that is no fault yet
+        # A coordinator that answers at once without a change must not be polled in a tight loop.
+        early = self.index == previous and self.reactor.seconds() - self.polled_s < RETRY_S
+        self.reactor.callLater(RETRY_S if early else 0, self.poll)
+
+    def _failed(self, failure: Failure) -> None:
+        if self.connection_reused and failure.check(error.ConnectionDone, error.ConnectionLost):
+            # The coordinator closed the idle connection while the request was on its way: not a failure yet.
+            self.reactor.callLater(0, self.poll)
             return
         if not self.failing and not self.moved:
-            log.warning("coordinator does not answer", extra={"fault": reason.getErrorMessage()[:200]})
+            log.warning("endpoint_watch_failed", extra={"error": failure.getErrorMessage()[:200]})
             self.failing = True
-        self.reactor.callLater(0 if self.moved else AGAIN_S, self.poll)
+        self.reactor.callLater(0 if self.moved else RETRY_S, self.poll)
--- a/lotuspick/transport/http/media_nodes.py
+++ b/lotuspick/transport/http/media_nodes.py
@@ -29,7 +29,7 @@
 from lotuspick.routing.messages import AttemptTerminated, EdgeServerFailed, HintReceived, InboundMessage
 from lotuspick.routing.termination import TerminationReason
 from lotuspick.transport.http.response_body import read_body
-from lotuspick.transport.sockets import Reactor, dial_failed
+from lotuspick.transport.sockets import Reactor, dial_failure_reason
 
 log = logging.getLogger(__name__)
 
@@ -188,7 +188,7 @@
     if reason.check(
         error.ConnectError, error.ConnectingCancelledError, error.DNSLookupError, error.TimeoutError
     ):  # the agent's own time-out is that of the connection
-        return dial_failed(reason)
+        return dial_failure_reason(reason)
     failures: Any = getattr(reason.value, "reasons", ())
     if any(each.check(error.ConnectionDone) for each in failures):
         return TerminationReason.CLOSED_BY_PEER
--- a/lotuspick/transport/rtsp/rtsp_connection.py
+++ b/lotuspick/transport/rtsp/rtsp_connection.py
@@ -18,7 +18,7 @@
 from lotuspick.protocol.errors import MOST_BYTES, ProtocolError
 from lotuspick.routing.messages import SessionCancelled
 from lotuspick.routing.termination import TerminationReason
-from lotuspick.transport.sockets import ended, hung_up, lost, now_us
+from lotuspick.transport.sockets import hung_up, loss_reason, now_us, shut_down
 
 if TYPE_CHECKING:
     from lotuspick.transport.rtsp.rtsp_server import RtspServer
@@ -65,13 +65,13 @@
         """Stop every timer and notify the server (Twisted's callback)."""
         self._disconnect()
         self._cancel_write_timer()
-        self.server.connection_closed(self, lost(reason))
+        self.server.connection_closed(self, loss_reason(reason))
 
     def drop(self, reason: TerminationReason) -> None:
         """Close at once."""
         self.server.count_dropped(reason)
         self._disconnect()
-        ended(self.transport.getHandle())
+        shut_down(self.transport.getHandle())
         self.transport.abortConnection()
 
     def close_after_flush(self) -> None:
--- a/lotuspick/transport/sockets.py
+++ b/lotuspick/transport/sockets.py
@@ -1,4 +1,4 @@
-"""What the transports share: the reactor's face, the clock, and how a connection ended."""
+"""Shared by all transports: the clocks, checks of sockets, and the reasons for which connections end."""
 
 from __future__ import annotations
 
@@ -14,26 +14,30 @@
 
 from lotuspick.routing.termination import TerminationReason
 
-Reactor = Any  # Twisted's reactor has no one type: it provides IReactorTCP, IReactorTime and more
+Reactor = Any  # Twisted's reactor has no single type: it provides IReactorTCP, IReactorTime and more
 
-
-ANCHOR_NS = time.time_ns() - time.monotonic_ns()
+MONOTONIC_TO_UNIX_NS = time.time_ns() - time.monotonic_ns()  # as of the start of the process
 
 
 def now_us() -> int:
-    """Unix time as it went on since the start of the process, whatever is done to the system's clock: a step back of
-    that one would have all that is due wait, a step forward would have all of it due at once."""
-    return (ANCHOR_NS + time.monotonic_ns()) // 1_000
+    """Unix time (us) that advances monotonically from the start of the process.
+
+    It ignores steps of the system's clock: a step back would delay all timers, a step forward would fire them
+    all at once.
+    """
+    return (MONOTONIC_TO_UNIX_NS + time.monotonic_ns()) // 1_000
 
 
 def wall_s() -> float:
-    """The system's Unix clock."""
+    """The system's Unix clock (s)."""
     return time.time()
 
 
 def readable(*descriptors: int) -> bool:
-    """Whether something has come on a socket, its end included, that was not read yet; a new connection, on one that
-    listens."""
+    """Whether any of these sockets has unread input, its end included, or a connection to accept.
+
+    Negative descriptors are ignored.
+    """
     poll = select.poll()
     for descriptor in descriptors:
         if descriptor >= 0:
@@ -42,33 +46,36 @@
 
 
 def hung_up(descriptor: int) -> bool:
-    """Whether the other side has closed, though what it sent before that may lie unread."""
+    """Whether the other side has closed, also if what it sent before is still unread."""
     poll = select.poll()
     if descriptor >= 0:
         poll.register(descriptor, select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
-def ended(connection: socket.socket) -> None:
-    """Tell the other side now that a connection is over: the reactor closes it in its next look at the earliest, and
-    what is sent meanwhile would be lost."""
+def shut_down(connection: socket.socket) -> None:
+    """Notify the other side at once that a connection is over.
+
+    The reactor closes the socket in its next iteration at the earliest, and what the other side sends until
+    then would be lost.
+    """
     with suppress(OSError):
         connection.shutdown(socket.SHUT_RDWR)
 
 
-def lost(reason: Failure) -> TerminationReason:
-    """How a connection ended that was up."""
-    if reason.check(error.ConnectionDone):
+def loss_reason(failure: Failure) -> TerminationReason:
+    """Why an established connection ended."""
+    if failure.check(error.ConnectionDone):
         return TerminationReason.CLOSED_BY_PEER
     return TerminationReason.RESET
 
 
-def dial_failed(reason: Failure) -> TerminationReason:
-    """How a connection ended that never came up."""
-    if reason.check(error.ConnectionRefusedError):
+def dial_failure_reason(failure: Failure) -> TerminationReason:
+    """Why a connection could not be established."""
+    if failure.check(error.ConnectionRefusedError):
         return TerminationReason.DIAL_REFUSED
-    if reason.check(error.TimeoutError, error.TCPTimedOutError):
+    if failure.check(error.TimeoutError, error.TCPTimedOutError):
         return TerminationReason.DIAL_TIMEOUT
-    if isinstance(reason.value, OSError) and reason.value.errno == errno.ECONNREFUSED:
+    if isinstance(failure.value, OSError) and failure.value.errno == errno.ECONNREFUSED:
         return TerminationReason.DIAL_REFUSED
     return TerminationReason.DIAL_FAILED
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -12,7 +12,7 @@
 from twisted.python.failure import Failure
 
 from lotuspick.protocol.errors import MOST_ANSWER
-from lotuspick.transport.endpoint_watch import AGAIN_S, GRACE_S, TRIES, WAIT_MS, EndpointWatch
+from lotuspick.transport.endpoint_watch import GRACE_S, MALFORMED_POLLS, RETRY_S, WAIT_MS, EndpointWatch
 
 OK = b"HTTP/1.1 200 OK\r\n"
 
@@ -121,16 +121,16 @@
                 if ends:
                     self.lose(link, error.ConnectionLost)
                 self.assertTrue(self.feed.failing)
-                self.reactor.advance(AGAIN_S / 2)
+                self.reactor.advance(RETRY_S / 2)
                 self.assertEqual((len(self.reactor.tcpClients), link.transport.value()), (dials, b""))
-                self.reactor.advance(AGAIN_S)
-                if not link.up:
+                self.reactor.advance(RETRY_S)
+                if not link.is_open:
                     link = self.connect()
                 self.asked(link, 0)  # one that was only refused keeps its connection
                 link.dataReceived(whole(news(0)))
                 self.assertFalse(self.feed.failing)
                 self.lose(link)
-                self.reactor.advance(AGAIN_S)  # it told nothing, and at once
+                self.reactor.advance(RETRY_S)  # it told nothing, and at once
         self.assertEqual(self.feed.index, 0)
 
     def test_an_update_that_came_spoilt_is_asked_for_again_and_passed_over_only_where_it_stays_so(
@@ -138,23 +138,23 @@
     ) -> None:
         """Guards against a drain that is never heard of: what is passed over is not told again."""
         told: list[Any] = []
-        self.feed.tell = told.append
+        self.feed.notify = told.append
         link = self.connect()
-        for _ in range(TRIES - 1):
+        for _ in range(MALFORMED_POLLS - 1):
             self.asked(link, 0)
             link.dataReceived(whole(update(1, state="\x00")))
             self.assertEqual((self.feed.index, told), (0, []))
-            self.reactor.advance(AGAIN_S)
+            self.reactor.advance(RETRY_S)
         self.asked(link, 0)
         link.dataReceived(whole(update(1, state="terminating")))
         self.assertEqual(
             (self.feed.index, [change.news.servers[0].state for change in told]), (1, ["draining"])
         )
         self.reactor.advance(0)
-        for _ in range(TRIES):  # counted anew, and the last of them is not waited for any more
+        for _ in range(MALFORMED_POLLS):  # counted anew, and the last of them is not waited for any more
             self.asked(link, 1)
             link.dataReceived(whole(update(2, state="\x00")))
-            self.reactor.advance(AGAIN_S)
+            self.reactor.advance(RETRY_S)
         self.assertEqual((self.feed.index, len(told)), (2, 1))
 
     def test_a_list_of_thousands_of_servers_is_no_fault(self) -> None:
@@ -167,9 +167,9 @@
         for _ in range(3):
             self.asked(link, 0)
             link.dataReceived(whole(news(0)))
-            self.reactor.advance(AGAIN_S / 2)
+            self.reactor.advance(RETRY_S / 2)
             self.assertEqual(link.transport.value(), b"")
-            self.reactor.advance(AGAIN_S)
+            self.reactor.advance(RETRY_S)
         self.asked(link, 0)
         self.reactor.advance(WAIT_MS / 1_000)  # one that did wait is asked again at once
         link.dataReceived(whole(news(0)))
@@ -181,7 +181,7 @@
         self.reactor.advance(WAIT_MS / 1_000 + GRACE_S)
         self.assertTrue(link.transport.disconnected or link.transport.aborting)
         self.assertTrue(self.feed.failing)
-        self.reactor.advance(AGAIN_S)
+        self.reactor.advance(RETRY_S)
         link.dataReceived(whole(news(8)))  # too late: nobody waits for it there
         self.assertEqual(self.feed.index, 0)
         self.asked(self.connect(), 0)
@@ -190,7 +190,7 @@
         link = self.connect()
         link.dataReceived(whole(news(5))[:40])
         self.reactor.advance(WAIT_MS / 1_000 + GRACE_S)
-        self.reactor.advance(AGAIN_S)
+        self.reactor.advance(RETRY_S)
         second = self.connect()
         self.asked(second, 0)
         second.dataReceived(whole(news(4)))
@@ -205,7 +205,7 @@
         self.assertLessEqual(patience, GRACE_S)
         factory.clientConnectionFailed(Mock(), Failure(error.TimeoutError()))
         self.assertTrue(self.feed.failing)
-        self.reactor.advance(AGAIN_S)
+        self.reactor.advance(RETRY_S)
         self.assertEqual(len(self.reactor.tcpClients), 2)
         self.asked(self.connect(), 0)
 
@@ -218,7 +218,7 @@
         link = self.connect()
         self.lose(link, error.ConnectionLost)
         self.feed.move("127.0.0.1:9")  # while the pause after a failure lasts
-        self.reactor.advance(AGAIN_S)
+        self.reactor.advance(RETRY_S)
         self.assertEqual([port for _, port, *_ in self.reactor.tcpClients], [7, 8, 9])
         link = self.connect()
         self.asked(link, 0)
@@ -227,13 +227,13 @@
         self.reactor.advance(0)
         self.assertEqual([port for _, port, *_ in self.reactor.tcpClients], [7, 8, 9, 6])
         self.asked(self.connect(), 1)
-        self.reactor.advance(AGAIN_S)
+        self.reactor.advance(RETRY_S)
         self.assertEqual(len(self.reactor.tcpClients), 4, "one watch at a time")
 
     def test_a_move_gives_up_the_wait(self) -> None:
         link = self.connect()
         self.feed.move("127.0.0.1:8")
-        self.assertFalse(link.up or self.feed.failing)
+        self.assertFalse(link.is_open or self.feed.failing)
         self.reactor.advance(0)
         self.assertEqual(self.reactor.tcpClients[-1][1], 8)
         self.asked(self.connect(), 0)
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -640,7 +640,7 @@
             ("drain", ["drain", "broker-c"]),
         ):
             with mock.patch.object(
-                members_commands, "ask", lambda *_, label=label: json.loads(answers[label])
+                members_commands, "send_request", lambda *_, label=label: json.loads(answers[label])
             ):
                 printed[label] = run_command(members_commands.app, *arguments, "--control", "127.0.0.1:1")
         self.assertEqual(printed, golden("members-printed.json"))
