--- a/lotuspick/program/daemon.py
+++ b/lotuspick/program/daemon.py
@@ -201,7 +201,7 @@
             self.reactor.callLater(SHUTDOWN_CHECK_S, self._stop_when_done, play_until_s, last_s)
             return
         self.listener.stopListening()
-        self.rtsp_server.finish()
+        self.rtsp_server.stop_sending()
         for component in self.components:
             component.stop_accepting()
         self.reactor.callLater(LAST_WRITES_S, self.reactor.stop)
@@ -219,7 +219,7 @@
     def _has_unread_input(self) -> bool:
         """Whether a connection or a message has come that was not looked at yet."""
         return (
-            self.rtsp_server.unread()
+            self.rtsp_server.has_unread_input()
             or readable(self.listener.fileno())
             or any(component.has_unread_input() for component in self.components)
         )
@@ -250,7 +250,7 @@
 
     def _endpoints_changed(self, change: Change) -> None:
         entries = [entry for entry in change.news.servers if entry.server not in self.component_server_ids]
-        self.edge_pool.named(ServerListUpdate(entries, change.news.complete), change.addresses)
+        self.edge_pool.update_endpoints(ServerListUpdate(entries, change.news.complete), change.addresses)
         self.dispatcher.post(EndpointListChanged(change.news))
 
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -21,7 +21,8 @@
 from lotuspick.protocol import rtsp
 from lotuspick.routing.messages import AttemptAnswered, SessionRequested, ViewerConnectionClosed
 from lotuspick.routing.termination import TerminationReason
-from lotuspick.transport.rtsp.rtsp_server import UNREAD_S, RtspConnection, RtspServer
+from lotuspick.transport.rtsp.rtsp_connection import UNREAD_S, RtspConnection
+from lotuspick.transport.rtsp.rtsp_server import RtspServer
 from lotuspick.transport.sockets import readable
 
 OTHER = bytes.fromhex("0000000000000002")
@@ -161,7 +162,7 @@
                     edge.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 edge.close()
                 self.daemon.dispatcher.tick()  # before the close is read
-                self.assertIn(OTHER.hex(), self.daemon.edge_pool.links["s-e0"].open)
+                self.assertIn(OTHER.hex(), self.daemon.edge_pool.clients["s-e0"].sent_attempts)
                 again = self.take()  # the session that stands has it dialled anew
                 self.hears(second, answer)
                 again.settimeout(0.0)
@@ -184,7 +185,7 @@
                     viewer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 viewer.close()
                 self.daemon.dispatcher.tick()  # the answer is written before the close is read
-                self.until(lambda: len(self.daemon.rtsp_server.viewers) == 1)
+                self.until(lambda: len(self.daemon.rtsp_server.connections) == 1)
                 self.until(lambda: not self.daemon.dispatcher.inbox)
                 self.assertTrue(
                     self.daemon.dispatcher.table[ID.hex()].stands, "a session belongs to no connection"
@@ -243,7 +244,7 @@
         self.assertTrue(viewer.transport.aborted)
         viewer.connectionLost(Failure(error.ConnectionAborted()))
         self.assertEqual(
-            (self.posted, self.front.viewers, self.front.leaving),
+            (self.posted, self.front.connections, self.front.closing),
             ([ViewerConnectionClosed(viewer)], {}, set()),
         )
 
@@ -255,7 +256,7 @@
             lambda each: each.dataReceived(Malformed.WRONG * 9),
             lambda each: each.dataReceived(b"x\r\n"),
             lambda each: each.drop(TerminationReason.CONNECTION_LIMIT),
-            lambda each: each.say_no_more(),
+            lambda each: each.stop_sending(),
         ):
             viewer = self.come()
             way(viewer)
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -15,7 +15,7 @@
         self.play(
             """
             v1 send SETUP s1 kind=exam left=9000
-            b expect LINE why="to
+            b expect LINE purpose="to
             e0 send OPEN
             e0 expect SETUP s1
             e0 send ANSWER s1 body=one
@@ -68,7 +68,7 @@
         self.play(
             """
             v1 send SETUP s1 kind=exam left=9000
-            b expect LINE why="to
+            b expect LINE purpose="to
             c send e0 state=up address=e1
             e1 expect OPENED
             e1 expect SETUP s1
@@ -85,7 +85,7 @@
         self.play(
             """
             v1 send SETUP s1 kind=exam left=9000
-            b expect LINE why="to
+            b expect LINE purpose="to
             c send e0 state=up address=e1
             c expect FOLLOWED follow=2
             e0 send OPEN
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -34,7 +34,9 @@
         viewer, whole = self.call(), SETUP % 9_000
         viewer.sendall(whole[:60])
         self.until(
-            lambda: any(each._buffer or each._decoder.part_way for each in self.daemon.rtsp_server.viewers)
+            lambda: any(
+                each._buffer or each._decoder.part_way for each in self.daemon.rtsp_server.connections
+            )
         )
         viewer.sendall(whole[60:])
         self.held_up(2.2)
@@ -44,10 +46,10 @@
     def test_one_that_is_late_all_the_same_is_closed(self) -> None:
         viewer = self.call()
         viewer.sendall((SETUP % 9_000)[:60])
-        self.until(lambda: self.daemon.rtsp_server.viewers)
+        self.until(lambda: self.daemon.rtsp_server.connections)
         self.held_up(2.2)
         self.timers()
-        self.until(lambda: not self.daemon.rtsp_server.viewers)
+        self.until(lambda: not self.daemon.rtsp_server.connections)
 
     def test_what_came_before_an_end_and_was_not_looked_at_is_served(self) -> None:
         """A connection that waits to be taken, and one on which a request waits to be read."""
@@ -78,8 +80,8 @@
         viewer = self.call()
         viewer.sendall(SETUP % 9_000)
         viewer.close()
-        self.until(lambda: self.daemon.rtsp_server.viewers)
-        self.until(lambda: not self.daemon.rtsp_server.viewers)
+        self.until(lambda: self.daemon.rtsp_server.connections)
+        self.until(lambda: not self.daemon.rtsp_server.connections)
         self.until(lambda: not self.daemon.dispatcher.inbox)
         self.assertEqual((self.daemon.dispatcher.table, self.daemon.dispatcher.open_set_ups), ({}, 0))
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -30,7 +30,7 @@
                 self.play(
                     f"""
                     v1 send SETUP s1 kind=exam left=9000
-                    b expect LINE why="to
+                    b expect LINE purpose="to
                     {leave}
                     v2 send SETUP s2 kind=exam left=9000
                     v2 send OPTIONS
@@ -106,7 +106,7 @@
                 self.play(
                     f"""
                     p1 send SETUP s1 kind=exam left=9000
-                    b expect LINE why="to
+                    b expect LINE purpose="to
                     {leave}
                     v2 send SETUP s2 kind=exam left=9000
                     v2 send OPTIONS
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -68,7 +68,7 @@
         self.play(
             """
             v1 send SETUP s1 kind=exam left=9000
-            b expect LINE why="to
+            b expect LINE purpose="to
             b send TERM
             b expect LINE msg=shutdown_started
             e0 send OPEN
