--- a/lotuspick/routing/dispatcher.py
+++ b/lotuspick/routing/dispatcher.py
@@ -176,7 +176,7 @@
             EdgeServerFailed: self._edge_down,
             EndpointListChanged: self._roster,
             HintReceived: lambda item, now: [item.hint],
-            TenantRatesUpdated: lambda item, now: [item.news],
+            TenantRatesUpdated: lambda item, now: [item.update],
             SessionRevoked: self._dismissed,
             LedgerCommitted: lambda item, now: [ConstraintsChanged()],
             AttemptWritten: self._written,
