--- a/lotuspick/lab/emulator/world.py
+++ b/lotuspick/lab/emulator/world.py
@@ -232,7 +232,8 @@
                     del node.coming[session]
             for stream in [each for each in node.streams.values() if each.broker is self]:
                 node.drop(stream.session)
-        for viewer in [entry.viewer for entry in self.loop.table.values() if isinstance(entry.viewer, Try)]:
+        entries = self.loop.sessions.entries.values()
+        for viewer in [entry.viewer for entry in entries if isinstance(entry.viewer, Try)]:
             viewer.broken("broker killed")
 
     def hear(self, life: int, item: InboundMessage, delay_us: int = 0) -> None:
@@ -269,7 +270,7 @@
 
     def start_attempt(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
         world, node = self.world, self.world.by_name[edge]
-        viewer = self.loop.table[ask.session].viewer
+        viewer = self.loop.sessions.entries[ask.session].viewer
         assert isinstance(viewer, Try)
         told = self.drained.get(edge)
         if told is not None and world.now > told + 2 * SECOND:
--- a/lotuspick/plugin.py
+++ b/lotuspick/plugin.py
@@ -1,13 +1,13 @@
-"""lotuspick inside a client: the decisions and the loop as a plug-in for an RPC library, without any wire.
+"""lotuspick inside a client: the decisions and the dispatcher as a plug-in for an RPC library.
 
 The RPC library keeps its own connections. It implements :class:`Calls`, which starts and cancels calls, and
-tells the plug-in what it sees; the plug-in picks servers and rungs, and owes each request one answer:
+reports to the plug-in what it sees; the plug-in picks servers and rungs, and gives each request one answer:
 
     plugin = Plugin(settings, seed=7, calls=calls)
-    plugin.servers(ServerList([...], complete=True))
+    plugin.servers(ServerListUpdate([...], complete=True))
     plugin.ask(request, on_answer)             # one Served, Refused or Failed, later Released after a Served
-    plugin.answered(server, session, payload)  # the call that Calls.start began has an answer
-    plugin.ended(server, session, Ending.RESET)
+    plugin.answered(server, session, payload)  # the call that Calls.start started was answered
+    plugin.ended(server, session, TerminationReason.RESET)
     threading.Thread(target=plugin.run).start()
 
 Methods may be called from any thread; ``on_answer`` and ``Calls`` are called from the thread of ``run`` (or
@@ -26,7 +26,7 @@
 from lotuspick.core.controller import Controller
 from lotuspick.core.events import PlayerHint, ServerHint, ServerListUpdate, SessionRequest
 from lotuspick.core.settings import Settings
-from lotuspick.routing.dispatcher import SessionDispatcher, stay_away_ms
+from lotuspick.routing.dispatcher import SessionDispatcher, overload_retry_after_ms
 from lotuspick.routing.interfaces import AttemptRequest
 from lotuspick.routing.messages import (
     AttemptAnswered,
@@ -42,22 +42,24 @@
 from lotuspick.routing.termination import TerminationReason
 
 __all__ = [
+    "AttemptRequest",
     "Calls",
-    "TerminationReason",
     "Failed",
     "Plugin",
     "Refused",
     "Released",
     "Served",
-    "AttemptRequest",
+    "TerminationReason",
 ]
 
 PERIOD_US = 10_000
+"""Between two ticks of the dispatcher."""
+US_PER_S = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """The session stands at a server; ``payload`` is what that server answered."""
+    """The session plays at a server; ``payload`` is what that server answered."""
 
     session: str
     payload: bytes
@@ -65,24 +67,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """To ask again is harmless, after ``gap_ms`` where above 0."""
+    """The request was rejected and nothing ran; it may be retried after ``retry_after_ms``."""
 
     session: str
-    gap_ms: int
-    why: str = ""
-    """The reason of a guide, if it was one."""
+    retry_after_ms: int
+    """0: no delay is asked for."""
+    reason: str = ""
+    """Of the constraint provider that rejected it; empty: none did."""
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """No promise about the effect."""
+    """The request failed; it may have run."""
 
     session: str
 
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """A session that stood is over."""
+    """A session that played has ended."""
 
     session: str
     reason: TerminationReason
@@ -92,78 +95,82 @@
 
 
 class Calls(Protocol):
-    """What the RPC library does for the plug-in. A call that cannot be started is reported with ``ended``."""
+    """What the RPC library does for the plug-in.
+
+    A call that cannot be started is reported with :meth:`Plugin.ended`.
+    """
 
-    def start(self, server: str, ask: AttemptRequest) -> None:
-        """Begin the call that sets a session up, with the payload of the request as its description."""
+    def start(self, server: str, attempt: AttemptRequest) -> None:
+        """Start the call that sets up a session; the payload of its request is ``attempt.description``."""
 
     def cancel(self, server: str, session: str) -> bool:
-        """Cancel it. True only where it provably never left this process."""
+        """Cancel the call; returns True only where it provably never left this process."""
 
     def release(self, server: str, session: str) -> None:
-        """End a session that stands."""
+        """End a session that plays."""
 
     def set_rung(self, server: str, session: str, rung: int) -> None:
-        """Change the rung of a session that stands."""
+        """Change the rung of a session that plays."""
 
 
-class _Edges:
-    """The loop's view of :class:`Calls`."""
+class _CallsAsEdgeServers:
+    """The dispatcher's view of :class:`Calls`."""
 
     def __init__(self, calls: Calls) -> None:
         self.calls = calls
 
-    def start_attempt(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
-        self.calls.start(edge, ask)
+    def start_attempt(self, server: str, attempt: AttemptRequest) -> TerminationReason | None:
+        self.calls.start(server, attempt)
         return None
 
-    def cancel_attempt(self, edge: str, session: str) -> bool:
-        return self.calls.cancel(edge, session)
+    def cancel_attempt(self, server: str, session: str) -> bool:
+        return self.calls.cancel(server, session)
 
-    def release(self, edge: str, session: str, ending: TerminationReason) -> None:
-        self.calls.release(edge, session)
+    def release(self, server: str, session: str, reason: TerminationReason) -> None:  # noqa: ARG002
+        self.calls.release(server, session)
 
-    def set_rung(self, edge: str, session: str, rung: int) -> None:
-        self.calls.set_rung(edge, session, rung)
+    def set_rung(self, server: str, session: str, rung: int) -> None:
+        self.calls.set_rung(server, session, rung)
 
-    def keep_connected(self, edge: str) -> None:
-        pass
+    def keep_connected(self, server: str) -> None:
+        """The RPC library sees to its connections itself."""
 
 
-class _Asker:
-    """The loop's view of whoever asked: never gone, since it is in this process."""
+class _Requester:
+    """The dispatcher's view of whoever requested a session: always open, since it is in this process."""
 
     is_open, last_message_us = True, 0
 
-    def __init__(self, tell: Callable[[Answer], None]) -> None:
-        self.tell = tell
+    def __init__(self, on_answer: Callable[[Answer], None]) -> None:
+        self.on_answer = on_answer
 
     def served(self, session: str, description: bytes) -> None:
-        self.tell(Served(session, description))
+        self.on_answer(Served(session, description))
 
-    def rejected(self, session: str, gap_ms: int, why: str = "") -> None:
-        self.tell(Refused(session, gap_ms, why))
+    def rejected(self, session: str, retry_after_ms: int, reason: str = "") -> None:
+        self.on_answer(Refused(session, retry_after_ms, reason))
 
-    def failed(self, session: str, why: str = "") -> None:
-        self.tell(Failed(session))
+    def failed(self, session: str, reason: str = "") -> None:  # noqa: ARG002
+        self.on_answer(Failed(session))
 
-    def close_with_error(self, why: str) -> None:
+    def close_with_error(self, reason: str) -> None:
         """Only a connection can be closed."""
 
-    def released(self, session: str, ending: TerminationReason) -> None:
-        self.tell(Released(session, ending))
+    def released(self, session: str, reason: TerminationReason) -> None:
+        self.on_answer(Released(session, reason))
 
 
 ANCHOR_NS = time.time_ns() - time.monotonic_ns()
+"""Unix time at the zero of the monotonic clock, as it was when this module was loaded."""
 
 
 def unix_us() -> int:
-    """Unix time as it went on since this module was loaded, whole microseconds; deadlines of requests are on it."""
+    """Give Unix time in whole microseconds, which never steps back; request deadlines are on it."""
     return (ANCHOR_NS + time.monotonic_ns()) // 1_000
 
 
 class Plugin:
-    """One client's decisions. Sessions are named by the caller; a name is not used again."""
+    """One client's decisions; the caller gives each session an id, which is not used again."""
 
     def __init__(
         self,
@@ -174,76 +181,97 @@
         period_us: int = PERIOD_US,
         guide: ConstraintProvider | None = None,
     ) -> None:
+        """Start without servers and sessions.
+
+        Args:
+            settings: the site's settings.
+            seed: of the random draws among servers.
+            calls: how calls are started and cancelled.
+            clock: gives the current time in microseconds.
+            period_us: between two ticks of the dispatcher.
+            guide: narrows where sessions may be placed; None: nothing does.
+        """
         self.clock = clock
         self.loop = SessionDispatcher(
             Controller(settings, seed, guide),
-            _Edges(calls),
+            _CallsAsEdgeServers(calls),
             clock,
             self._wake,
             period_us,
-            frozenset(each.name for each in settings.classes),
-            stay_away_ms(settings),
+            frozenset(session_class.name for session_class in settings.classes),
+            overload_retry_after_ms(settings),
         )
-        self._due_us: int | None = None
+        self._due_us: int | None = None  # of the next tick
         self._changed = threading.Condition()
         self._closed = False
 
-    # ---- what the RPC library tells -----------------------------------------------------------------------
+    # ---- reports of the RPC library
 
-    def servers(self, news: ServerListUpdate) -> None:
-        """The server list, or a change of it."""
-        self.post(EndpointListChanged(news))
+    def servers(self, update: ServerListUpdate) -> None:
+        """Take the endpoint list, or a change of it."""
+        self.post(EndpointListChanged(update))
 
     def ask(self, request: SessionRequest, on_answer: Callable[[Answer], None], payload: bytes = b"") -> None:
-        """Ask for a session; its deadline is on this plug-in's clock."""
-        self.post(SessionRequested(request, payload, _Asker(on_answer)))
+        """Request a session; its deadline is on this plug-in's clock.
+
+        ``on_answer`` gets one :class:`Served`, :class:`Refused` or :class:`Failed`, and after a
+        :class:`Served` one :class:`Released`.
+        """
+        self.post(SessionRequested(request, payload, _Requester(on_answer)))
 
     def drop(self, session: str) -> None:
-        """Nobody wants the session any more, whether it stands or not."""
+        """Cancel a request, or end a session that plays."""
         self.post(SessionCancelled(session))
 
     def answered(self, server: str, session: str, payload: bytes = b"") -> None:
-        """The call has an answer: the session stands."""
+        """Report that a call was answered: the session plays."""
         self.post(AttemptAnswered(server, session, payload))
 
     def ended(
-        self, server: str, session: str, ending: TerminationReason, report: Mapping[str, float] | None = None
+        self,
+        server: str,
+        session: str,
+        reason: TerminationReason,
+        load_report: Mapping[str, float] | None = None,
     ) -> None:
-        """A call ended without an answer, or a session that stood is over."""
-        self.post(EdgeServerReleased(server, session, ending, ending, report or {}))
+        """Report that a call ended without an answer, or that a session that played has ended."""
+        self.post(EdgeServerReleased(server, session, reason, reason, load_report or {}))
 
-    def lost(self, server: str, ending: TerminationReason = TerminationReason.RESET) -> None:
-        """A server is gone, and all that stood there with it."""
-        self.post(EdgeServerFailed(server, ending))
+    def lost(self, server: str, reason: TerminationReason = TerminationReason.RESET) -> None:
+        """Report that a server has failed, and all sessions there with it."""
+        self.post(EdgeServerFailed(server, reason))
 
     def noted(self, server: str, session: str, topic: str, value: float) -> None:
-        """A note on a session that stands: ``share``, ``rung``, ``link`` or ``rack``."""
+        """Report a value on a session that plays; topics are ``share``, ``rung``, ``link`` and ``rack``."""
         self.post(EdgeServerNotified(server, session, topic, value))
 
     def hinted(self, hint: PlayerHint | ServerHint) -> None:
-        """A hint, weighed by the trust that its source has earned."""
+        """Take a hint of a player or a server; it counts as far as its source is trusted."""
         self.post(HintReceived(hint))
 
-    def change(self, then: Callable[[int], None]) -> None:
-        """Change a guide between two steps: ``plugin.change(lambda now: cells.take(plan, now))``. What ``then``
-        raises is raised here."""
+    def change(self, apply: Callable[[int], None]) -> None:
+        """Change a constraint provider between two ticks.
+
+        For example ``plugin.change(lambda now: cells.take(plan, now))``.
+        What ``apply`` raises is raised here.
+        """
         with self._changed:
-            then(self.clock())
+            apply(self.clock())
 
-    # ---- running ------------------------------------------------------------------------------------------
+    # ---- running
 
     def step(self) -> float | None:
-        """Do what is due. Returns the seconds until more will be, or None where nothing is planned."""
+        """Run the tick if it is due; returns the seconds until the next, or None where none is planned."""
         with self._changed:
-            due, now = self._due_us, self.clock()
-            if due is not None and due <= now:
+            due_us, now = self._due_us, self.clock()
+            if due_us is not None and due_us <= now:
                 self._due_us = None
                 self.loop.tick()
-                due = self._due_us
-            return None if due is None else max(0.0, (due - self.clock()) / 1e6)
+                due_us = self._due_us
+            return None if due_us is None else max(0.0, (due_us - self.clock()) / US_PER_S)
 
     def run(self) -> None:
-        """Step until ``close``."""
+        """Call :meth:`step` whenever a tick is due, until :meth:`close`."""
         while not self._closed:
             wait_s = self.step()
             with self._changed:
@@ -251,16 +279,16 @@
                     self._changed.wait(wait_s)
 
     def close(self) -> None:
-        """Release what stands, and let ``run`` return."""
+        """End the sessions that play, and let :meth:`run` return."""
         with self._changed:
             self.loop.release_all()
             self._closed = True
             self._changed.notify_all()
 
-    def post(self, item: InboundMessage) -> None:
-        """Put an item into the loop's inbox, as a guide's helper may have to: see ``program/entitled.py``."""
+    def post(self, message: InboundMessage) -> None:
+        """Post a message to the dispatcher, as constraint providers do: see ``program/entitlement.py``."""
         with self._changed:
-            self.loop.post(item)
+            self.loop.post(message)
 
     def _wake(self, at_us: int) -> None:
         with self._changed:
--- a/lotuspick/program/daemon.py
+++ b/lotuspick/program/daemon.py
@@ -17,7 +17,7 @@
 from lotuspick.program.configuration import Config, ConfigError
 from lotuspick.protocol.endpoint_events import Change
 from lotuspick.protocol.rtsp import Terms
-from lotuspick.routing.dispatcher import SessionDispatcher, stay_away_ms
+from lotuspick.routing.dispatcher import SessionDispatcher, overload_retry_after_ms
 from lotuspick.routing.interfaces import EdgeServers
 from lotuspick.routing.messages import EndpointListChanged
 from lotuspick.transport.edge_servers.edge_pool import EdgeLimits, EdgePool
@@ -61,7 +61,13 @@
             reactor.addSystemEventTrigger("after", "shutdown", part.close)
         self.nodes = frozenset[str]().union(*(part.nodes for part in self.parts))
         self.loop = SessionDispatcher(
-            self.module, edges, now_us, self._wake, config.period_us, classes, stay_away_ms(config.settings)
+            self.module,
+            edges,
+            now_us,
+            self._wake,
+            config.period_us,
+            classes,
+            overload_retry_after_ms(config.settings),
         )
         self.front = RtspServer(
             reactor,
@@ -144,7 +150,7 @@
         if self.stopping:
             return
         self.stopping = True
-        log.info("stopping", extra={"sessions": len(self.loop.table)})
+        log.info("stopping", extra={"sessions": len(self.loop.sessions.entries)})
         now_s = self.reactor.seconds()
         play_s = max(STAY_S, self.config.grace_us / SECOND - LEAVE_S)
         self.reactor.callLater(STAY_S, self._stop_when_done, now_s + play_s, now_s + LONGEST_S)
@@ -155,7 +161,11 @@
             self.loop.release_all()
         # What lies unread was taken all the same. Guards against an end in the moment after this process was held up:
         # its timers are due before it has looked at its sockets.
-        stays = self.loop.has_pending_work or now_s < play_until_s and (self.loop.table or self._unread())
+        stays = (
+            self.loop.has_pending_work
+            or now_s < play_until_s
+            and (self.loop.sessions.entries or self._unread())
+        )
         if now_s < last_s and stays:
             self.reactor.callLater(0.02, self._stop_when_done, play_until_s, last_s)
         else:  # nothing stands any more: it has ended by itself, or just above
--- a/lotuspick/routing/__init__.py
+++ b/lotuspick/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing: the session table, the one loop round the decisions, and every way in which things end."""
+"""Routing: a broker's sessions, the dispatcher around the decisions, and the reasons of terminations."""
--- a/lotuspick/routing/indeterminate_attempts.py
+++ b/lotuspick/routing/indeterminate_attempts.py
@@ -1,38 +1,42 @@
-"""Attempts that were taken back after they had left, whose end nobody knows yet."""
+"""Attempts that were withdrawn after they had left, so that it is not known yet whether they ran."""
 
 from __future__ import annotations
 
 
 class IndeterminateAttempts:
-    """Each is known by its session and its server: the decisions never send a session twice to one server, and while
-    one of its attempts is in here the loop takes no request under its name, so that a late word from a server can
-    be of no other attempt."""
+    """Withdrawn attempts by session and server.
+
+    The decisions never forward a session twice to one server, and while one of its attempts is in here no
+    request is taken under its id, so that a late message from a server can be about no other attempt.
+    """
 
     def __init__(self) -> None:
-        self.since_us: dict[tuple[str, str], int] = {}  # longest ago first
+        """Start without attempts."""
+        self.since_us: dict[tuple[str, str], int] = {}  # oldest first
         self.servers: dict[str, set[str]] = {}  # by session
 
     def __contains__(self, session: str) -> bool:
+        """Whether an attempt of the session may still run."""
         return session in self.servers
 
     def add(self, session: str, server: str, now: int) -> None:
-        """Taken back now."""
-        self.settle(session, server)  # the latest is last
+        """Add an attempt that is withdrawn at ``now`` microseconds."""
+        self.settle(session, server)  # keeps the oldest first
         self.since_us[session, server] = now
         self.servers.setdefault(session, set()).add(server)
 
     def settle(self, session: str, server: str) -> bool:
-        """Its end is known. False: it is not in here, or no more."""
+        """Remove an attempt whose end is known; returns False where it is not in here."""
         if self.since_us.pop((session, server), None) is None:
             return False
-        there = self.servers[session]
-        there.discard(server)
-        if not there:
+        servers = self.servers[session]
+        servers.discard(server)
+        if not servers:
             del self.servers[session]
         return True
 
     def forget(self, before_us: int) -> None:
-        """No word can come any more of what was taken back before then."""
+        """Remove what was withdrawn before ``before_us``: no message about it can come any more."""
         while self.since_us:
             (session, server), since_us = next(iter(self.since_us.items()))
             if since_us >= before_us:
--- a/lotuspick/routing/interfaces.py
+++ b/lotuspick/routing/interfaces.py
@@ -1,6 +1,6 @@
 """Interfaces through which the dispatcher talks to viewers, edge servers and the tenant directory.
 
-They know no wire: each transport implements them for its own protocol.
+They are independent of protocols: each transport implements them for its own protocol.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class ViewerConnection(Protocol):
-    """One viewer connection of any front, as the loop sees it. Calls after its end do nothing."""
+    """One viewer connection of any protocol; calls after it has closed do nothing."""
 
     @property
     def is_open(self) -> bool:
@@ -21,27 +21,33 @@
 
     @property
     def last_message_us(self) -> int:
-        """When a whole message last came from it, on the clock of the loop; 0: never."""
+        """When a complete message last came from it, in microseconds of the dispatcher's clock; 0: never."""
 
     def served(self, session: str, description: bytes) -> None:
-        """The session plays; the description is the edge server's, byte for byte."""
+        """The session plays; ``description`` is the edge server's, byte for byte."""
 
-    def rejected(self, session: str, gap_ms: int, why: str = "") -> None:
-        """To ask again is harmless, after ``gap_ms`` where above 0. ``why``: the reason of a guide, if it was one."""
+    def rejected(self, session: str, retry_after_ms: int, reason: str = "") -> None:
+        """Nothing ran, so that the viewer may retry.
 
-    def failed(self, session: str, why: str = "") -> None:
-        """No promise about the effect."""
+        Args:
+            session: the id of the request.
+            retry_after_ms: the delay before a retry; 0: none.
+            reason: of the constraint provider that rejected it; empty: none did.
+        """
 
-    def released(self, session: str, ending: TerminationReason) -> None:
-        """A session that stood is over."""
+    def failed(self, session: str, reason: str = "") -> None:
+        """The request failed; it may have run."""
 
-    def close_with_error(self, why: str) -> None:
-        """Its peer cannot be told apart from itself any more: say why and close."""
+    def released(self, session: str, reason: TerminationReason) -> None:
+        """A session that played has ended."""
+
+    def close_with_error(self, reason: str) -> None:
+        """Report a protocol error to the peer and close."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptRequest:
-    """One attempt, as an edge server is asked for it."""
+    """One attempt, as it is sent to an edge server; ``description`` is the viewer's, byte for byte."""
 
     session: str
     session_class: str
@@ -54,32 +60,39 @@
 class EdgeServers(Protocol):
     """The connections to all edge servers, known by id."""
 
-    def start_attempt(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
-        """Send or queue an attempt; an ending where that cannot be done."""
+    def start_attempt(self, server: str, attempt: AttemptRequest) -> TerminationReason | None:
+        """Send or queue an attempt; returns the reason where that cannot be done."""
 
-    def cancel_attempt(self, edge: str, session: str) -> bool:
-        """Take an attempt back. True: it was still queued, so that it never left."""
+    def cancel_attempt(self, server: str, session: str) -> bool:
+        """Withdraw an attempt; returns True where it was still queued, so that it never left."""
 
-    def release(self, edge: str, session: str, ending: TerminationReason) -> None:
-        """End a session that stands, or that may stand."""
+    def release(self, server: str, session: str, reason: TerminationReason) -> None:
+        """End a session that plays, or that may play."""
 
-    def set_rung(self, edge: str, session: str, rung: int) -> None:
-        """Change the rung of a session that stands."""
+    def set_rung(self, server: str, session: str, rung: int) -> None:
+        """Change the rung of a session that plays."""
 
-    def keep_connected(self, edge: str) -> None:
-        """Sessions stand there: see to an open connection."""
+    def keep_connected(self, server: str) -> None:
+        """Open a connection where none is, since sessions play there."""
 
 
 RenewToken = Callable[[str, str, Callable[[str], None]], None]
-"""Takes a session that plays, a newer token, and what is to be called with a reason, or with nothing once it lasts."""
+"""Takes a session that plays, a newer token, and a callback.
+
+The callback gets the reason of a rejection, or an empty text once the renewal is committed.
+"""
 
 
 class TenantDirectory(Protocol):
     """Where the tenants are kept."""
 
     def rates(self) -> dict[str, float]:
-        """Requests a second of each tenant; raises :class:`TenantDirectoryError`. May block."""
+        """Read the requests per second of each tenant; may block.
+
+        Raises:
+            TenantDirectoryError: the directory cannot be read.
+        """
 
 
 class TenantDirectoryError(Exception):
-    """The directory cannot be read; the text says why."""
+    """The directory cannot be read; the text gives the reason."""
--- /dev/null
+++ b/lotuspick/routing/message_handlers.py
@@ -0,0 +1,326 @@
+"""What each message of the dispatcher's inbox does to the sessions, and which events the decisions get of it.
+
+A late message is dropped where it enters: an attempt is known by its session and its server, since a session
+goes to a server once, and no request is taken under an id of which a withdrawn attempt may still run.
+"""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Any
+
+from lotuspick.core.events import (
+    PROVES_NOT_EXECUTED,
+    AttemptEnded,
+    AttemptOutcome,
+    AttemptResolved,
+    ConstraintsChanged,
+    Event,
+    ServerFailed,
+    SessionNotification,
+    SessionPlaying,
+    SessionRequest,
+    SessionStarted,
+)
+from lotuspick.routing.interfaces import ViewerConnection
+from lotuspick.routing.messages import (
+    AttemptAnswered,
+    AttemptTerminated,
+    AttemptWritten,
+    EdgeServerFailed,
+    EdgeServerNotified,
+    EdgeServerReleased,
+    EndpointListChanged,
+    HintReceived,
+    InboundMessage,
+    LedgerCommitted,
+    SessionCancelled,
+    SessionRequested,
+    SessionRevoked,
+    TenantRatesUpdated,
+    ViewerConnectionClosed,
+    ViewerConnectionOpened,
+)
+from lotuspick.routing.session_lifecycle import SessionLifecycle, send_if_open
+from lotuspick.routing.session_table import SessionEntry
+from lotuspick.routing.termination import ATTEMPT_OUTCOMES, TerminationReason
+
+log = logging.getLogger(__name__)
+
+MAX_OPEN_REQUESTS = 2_000
+"""Requests open at once; with 16 KiB each they stay far inside the memory limit."""
+
+
+class MessageHandlers:
+    """One method for each type of message; owns the list of requests that have expired in this tick."""
+
+    def __init__(
+        self, lifecycle: SessionLifecycle, session_classes: frozenset[str], retry_after_ms: int
+    ) -> None:
+        """Handle messages for the sessions of ``lifecycle``.
+
+        Args:
+            lifecycle: the sessions, and how they go on and end.
+            session_classes: the classes that requests may name.
+            retry_after_ms: sent with a rejection while :data:`MAX_OPEN_REQUESTS` are open; 0: none.
+        """
+        self.lifecycle, self.sessions = lifecycle, lifecycle.sessions
+        self.connections, self.timers = lifecycle.connections, lifecycle.timers
+        self.edge_servers, self.indeterminate = lifecycle.edge_servers, lifecycle.indeterminate
+        self.session_classes, self.retry_after_ms = session_classes, retry_after_ms
+        self.expired: list[tuple[str, SessionRequest]] = []
+        self._by_type: dict[type, Callable[[Any, int], list[Event]]] = {
+            SessionRequested: self._on_requested,
+            SessionCancelled: self._on_cancelled,
+            ViewerConnectionClosed: self._on_viewer_closed,
+            ViewerConnectionOpened: self._on_viewer_opened,
+            AttemptAnswered: self._on_answered,
+            EdgeServerReleased: self._on_released,
+            EdgeServerNotified: self._on_notified,
+            AttemptTerminated: self._on_attempt_terminated,
+            EdgeServerFailed: self._on_server_failed,
+            EndpointListChanged: self._on_endpoint_list,
+            HintReceived: self._on_hint,
+            TenantRatesUpdated: self._on_tenant_rates,
+            SessionRevoked: self._on_revoked,
+            LedgerCommitted: self._on_ledger_committed,
+            AttemptWritten: self._on_written,
+        }
+
+    def handle(self, message: InboundMessage, now: int) -> list[Event]:
+        """Carry out one message; returns the events for the decisions, in their order."""
+        return self._by_type[type(message)](message, now)
+
+    def take_expired(self) -> list[tuple[str, SessionRequest]]:
+        """Requests whose deadline has passed since the last call, answered or not."""
+        expired, self.expired = self.expired, []
+        return expired
+
+    # ---- from viewers
+
+    def _on_requested(self, message: SessionRequested, now: int) -> list[Event]:
+        request, viewer = message.request, message.viewer
+        entry = self.sessions.entries.get(request.session)
+        if viewer is not None:
+            self.connections.count_request(viewer)
+        if isinstance(request, SessionPlaying):
+            return self._on_handed_over(request, entry, message, now)
+        if viewer is not None and not viewer.is_open:
+            return []  # it has left: a flood of duplicates costs no answer and no log line for each of them
+        if (
+            entry is not None
+            and not entry.is_playing
+            and viewer is not None
+            and self._take_duplicate(entry, message, viewer, now)
+        ):
+            return []
+        return self._open_request(message, in_use=entry is not None)
+
+    def _take_duplicate(
+        self, entry: SessionEntry, message: SessionRequested, viewer: ViewerConnection, now: int
+    ) -> bool:
+        """Take a request that came again while open; returns False where it is another under the same id."""
+        session = message.request.session
+        if viewer is entry.viewer or viewer in entry.duplicates:
+            # Both answers would be for the same id on one connection.
+            viewer.close_with_error(f"Session {session} is asked for twice")
+            return True
+        if not _is_same_request(entry, message):
+            return False
+        # Sent again by a viewer whose connection closed meanwhile: one request, one answer. The first
+        # connection keeps it while it is open, so that a stranger who repeats a request does not get its
+        # answer.
+        self.sessions.add_duplicate(session, entry, viewer, now)
+        if entry.viewer is not None and not entry.viewer.is_open:
+            self.sessions.continue_on_duplicate(session, entry, now)
+        return True
+
+    def _open_request(self, message: SessionRequested, *, in_use: bool) -> list[Event]:
+        request, session = message.request, message.request.session
+        # A request may come again under its id after its connection closed, while an attempt of it may still
+        # run: a set-up that is not idempotent must not go out twice.
+        in_use = in_use or session in self.indeterminate
+        if in_use or request.session_class not in self.session_classes:
+            reason = "id in use" if in_use else f"unknown class {request.session_class}"
+            send_if_open(message.viewer, lambda viewer: viewer.failed(session, reason))
+            return []
+        if self.sessions.open_request_count >= MAX_OPEN_REQUESTS:
+            send_if_open(message.viewer, lambda viewer: viewer.rejected(session, self.retry_after_ms))
+            return []
+        self.sessions.add_request(session, SessionEntry(request, message.description, message.viewer))
+        self.timers.start(request.deadline_us, lambda _now: self._on_deadline(session, request))
+        return [request]
+
+    def _on_handed_over(
+        self, request: SessionPlaying, entry: SessionEntry | None, message: SessionRequested, now: int
+    ) -> list[Event]:
+        if entry is not None or request.session_class not in self.session_classes:
+            return []
+        entry = SessionEntry(
+            request,
+            viewer=message.viewer,
+            server=request.server,
+            attempt=0,
+            forwarded_at_us=now,
+            written_at_us=now,
+        )
+        self.sessions.add_playing(request.session, entry)
+        self.edge_servers.keep_connected(request.server)
+        return [request]
+
+    def _on_deadline(self, session: str, request: SessionRequest) -> Event | None:
+        """Note a deadline that has passed.
+
+        In a tick that comes late a timer of the decisions is due as well, and their answer, which may be a
+        rejection, goes first.
+        """
+        entry = self.sessions.entries.get(session)
+        if entry is not None and not entry.is_playing and entry.request is request:
+            self.expired.append((session, request))
+        return None
+
+    def _on_cancelled(self, message: SessionCancelled, now: int) -> list[Event]:
+        session, entry = message.session, self.sessions.entries.get(message.session)
+        if entry is None:
+            return []
+        if not entry.is_playing:
+            return self.lifecycle.cancel_request(session, entry, now)
+        self.edge_servers.release(entry.server, session, TerminationReason.REVOKED)
+        event = self.lifecycle.end_session(session, entry, TerminationReason.REVOKED, now)
+        return [replace(event, viewer_left=True)]
+
+    def _on_revoked(self, message: SessionRevoked, now: int) -> list[Event]:
+        session, entry = message.session, self.sessions.entries.get(message.session)
+        if entry is None or not entry.is_playing:
+            return []
+        self.edge_servers.release(entry.server, session, message.reason)
+        return [self.lifecycle.end_session(session, entry, message.reason, now)]
+
+    def _on_viewer_closed(self, message: ViewerConnectionClosed, now: int) -> list[Event]:
+        viewer, events = message.viewer, list[Event]()
+        self.connections.remove(viewer)
+        for session in self.sessions.sessions_on(viewer):
+            entry = self.sessions.entries[session]
+            if entry.viewer is not viewer:
+                self.sessions.drop_duplicate(session, entry, viewer)
+            elif entry.is_playing:
+                self.sessions.detach_viewer(session, entry)
+            elif not self.sessions.continue_on_duplicate(session, entry, now):
+                events.extend(self.lifecycle.cancel_request(session, entry, now))
+        return events
+
+    def _on_viewer_opened(self, message: ViewerConnectionOpened, now: int) -> list[Event]:
+        self.connections.add(message.viewer, now)
+        return []
+
+    # ---- from edge servers
+
+    def _on_answered(self, message: AttemptAnswered, now: int) -> list[Event]:
+        session, server, events = message.session, message.server, list[Event]()
+        entry = self._forwarded_entry(session, server)
+        if entry is not None and self._viewer_has_left(session, entry, now):
+            # The message of its closed connection is still to come; nothing may play for nobody.
+            events, entry = self.lifecycle.cancel_request(session, entry, now), None
+        if entry is None:
+            # Withdrawn while the answer was on its way: what it made is released. A second answer, and one to
+            # an attempt that never went there, are dropped, so that nothing is cut that plays rightly.
+            if self.indeterminate.settle(session, server):
+                self.edge_servers.release(server, session, TerminationReason.REVOKED)
+                events.append(AttemptResolved(session, server, executed=True))
+            return events
+        self.sessions.begin_playing(session, entry)
+        send_if_open(entry.viewer, lambda viewer: viewer.served(session, message.description))
+        entry.description = b""  # needed for attempts alone
+        return [SessionStarted(session, entry.attempt, server, now - entry.forwarded_at_us)]
+
+    def _forwarded_entry(self, session: str, server: str) -> SessionEntry | None:
+        """Find the session whose current attempt is out at this server."""
+        entry = self.sessions.entries.get(session)
+        if entry is None or entry.server != server or not entry.is_forwarded:
+            return None
+        return entry
+
+    def _viewer_has_left(self, session: str, entry: SessionEntry, now: int) -> bool:
+        return (
+            entry.viewer is not None
+            and not entry.viewer.is_open
+            and not self.sessions.continue_on_duplicate(session, entry, now)
+        )
+
+    def _on_released(self, message: EdgeServerReleased, now: int) -> list[Event]:
+        session, entry = message.session, self.sessions.entries.get(message.session)
+        if entry is None or entry.server != message.server or not (entry.is_forwarded or entry.is_playing):
+            return self._on_late_release(message, known=entry is not None)
+        if entry.is_playing:
+            reason = message.reason_after_answer
+            return [self.lifecycle.end_session(session, entry, reason, now, message.load_report)]
+        reason = message.reason_before_answer
+        return [self.lifecycle.end_attempt(session, entry, reason, now, message.load_report)]
+
+    def _on_late_release(self, message: EdgeServerReleased, *, known: bool) -> list[Event]:
+        """Use what a late release still shows: that the attempt did not run, and the server's load."""
+        session, server, events = message.session, message.server, list[Event]()
+        if (
+            not known
+            and ATTEMPT_OUTCOMES[message.reason_before_answer] in PROVES_NOT_EXECUTED
+            and self.indeterminate.settle(session, server)
+        ):
+            events.append(AttemptResolved(session, server, executed=False))
+        if message.load_report:
+            outcome = AttemptOutcome.UNSENT
+            events.append(AttemptEnded(session, -1, server, outcome, True, 0, message.load_report))
+        return events
+
+    def _on_notified(self, message: EdgeServerNotified, _now: int) -> list[Event]:
+        return [SessionNotification(message.session, message.server, message.topic, message.value)]
+
+    def _on_written(self, message: AttemptWritten, _now: int) -> list[Event]:
+        entry = self._forwarded_entry(message.session, message.server)
+        if entry is not None:
+            entry.written_at_us = max(entry.written_at_us, message.written_at_us)
+        return []
+
+    def _on_attempt_terminated(self, message: AttemptTerminated, now: int) -> list[Event]:
+        entry = self._forwarded_entry(message.session, message.server)
+        if entry is None:
+            return []
+        return [self.lifecycle.end_attempt(message.session, entry, message.reason, now)]
+
+    def _on_server_failed(self, message: EdgeServerFailed, now: int) -> list[Event]:
+        ended = self.lifecycle.end_sessions_at(message.server, message.reason, now, before_us=now)
+        return [ServerFailed(message.server), *ended]
+
+    # ---- from the fleet
+
+    def _on_endpoint_list(self, message: EndpointListChanged, now: int) -> list[Event]:
+        """End what played at a server process before its latest start.
+
+        The process may have died and come back before it was dialled again. What was written after the start
+        plays at the new process, whenever it was queued.
+        """
+        events: list[Event] = []
+        for endpoint in message.update.servers:
+            events.extend(
+                self.lifecycle.end_sessions_at(
+                    endpoint.server, TerminationReason.SERVER_DOWN, now, before_us=endpoint.started_us
+                )
+            )
+        return [*events, message.update]
+
+    def _on_hint(self, message: HintReceived, _now: int) -> list[Event]:
+        return [message.hint]
+
+    def _on_tenant_rates(self, message: TenantRatesUpdated, _now: int) -> list[Event]:
+        return [message.update]
+
+    def _on_ledger_committed(self, _message: LedgerCommitted, _now: int) -> list[Event]:
+        return [ConstraintsChanged()]
+
+
+def _is_same_request(entry: SessionEntry, message: SessionRequested) -> bool:
+    """Whether both ask for the same; the deadline counts from when a message came."""
+    return entry.description == message.description and replace(entry.request, deadline_us=0) == replace(
+        message.request, deadline_us=0
+    )
--- a/lotuspick/routing/messages.py
+++ b/lotuspick/routing/messages.py
@@ -1,4 +1,4 @@
-"""Messages that transports post to the dispatcher's inbox; they do nothing else about sessions."""
+"""Messages that transports post to the dispatcher's inbox; they change sessions in no other way."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionRequested:
-    """A viewer's set-up; ``request`` is a ``SessionPlaying`` where the session plays already."""
+    """A viewer requests a session; a ``SessionPlaying`` is one that plays already."""
 
     request: SessionRequest
     description: bytes = b""
@@ -21,28 +21,28 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionCancelled:
-    """A viewer gives up a set-up, or ends a session that stands."""
+    """A viewer cancels a request, or ends a session that plays."""
 
     session: str
 
 
 @dataclass(frozen=True, slots=True)
 class ViewerConnectionClosed:
-    """A viewer connection has ended: its open set-ups are given up, its sessions stand on."""
+    """A viewer connection has closed: its open requests are cancelled, its sessions play on."""
 
     viewer: ViewerConnection
 
 
 @dataclass(frozen=True, slots=True)
 class ViewerConnectionOpened:
-    """A viewer connection has opened: releases that found none can go out."""
+    """A viewer connection has opened: releases that wait for one can be sent."""
 
     viewer: ViewerConnection
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptAnswered:
-    """An edge server answers: the session stands."""
+    """An edge server has answered an attempt: the session plays."""
 
     server: str
     session: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EdgeServerReleased:
-    """An edge server ends an attempt or a session: ``before`` and ``after`` an answer this means so much."""
+    """An edge server ends an attempt or a session; which reason counts depends on whether it had answered."""
 
     server: str
     session: str
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EdgeServerNotified:
-    """A note on a session that stands; topics as in :class:`lotuspick.core.events.SessionNotification`."""
+    """A notification on a session that plays, as in :class:`lotuspick.core.events.SessionNotification`."""
 
     server: str
     session: str
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptTerminated:
-    """An attempt ended without a word from the edge server."""
+    """An attempt ended without a message from the edge server."""
 
     server: str
     session: str
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptWritten:
-    """An attempt that waited for a connection has left."""
+    """An attempt that waited for a connection was written, at ``written_at_us``."""
 
     server: str
     session: str
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EdgeServerFailed:
-    """The process or machine of an edge server is gone, and what stood there with it."""
+    """The process or machine of an edge server has failed, and the sessions there with it."""
 
     server: str
     reason: TerminationReason
@@ -99,21 +99,21 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListChanged:
-    """News of the server list."""
+    """The endpoint list has changed."""
 
     update: ServerListUpdate
 
 
 @dataclass(frozen=True, slots=True)
 class HintReceived:
-    """What a player or a media node says of itself."""
+    """A player or a media node has sent a hint."""
 
     hint: PlayerHint | ServerHint
 
 
 @dataclass(frozen=True, slots=True)
 class SessionRevoked:
-    """A session that stands is to end, by no wish of its viewer."""
+    """A session that plays has to end; its viewer did not ask for it."""
 
     session: str
     reason: TerminationReason
@@ -121,12 +121,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerCommitted:
-    """What a guide waited for has come; those that wait for it should not wait for the next full period."""
+    """A write that requests wait for is committed; the next tick comes early for them."""
 
 
 @dataclass(frozen=True, slots=True)
 class TenantRatesUpdated:
-    """The tenants, as just read from their directory."""
+    """The rates of the tenants were read from their directory."""
 
     update: TenantRates
 
--- /dev/null
+++ b/lotuspick/routing/session_lifecycle.py
@@ -0,0 +1,193 @@
+"""How an attempt, a request or a session starts and ends, for message handlers and actions.
+
+Each method changes the session table, informs the edge server or the viewer, and returns the event that the
+decisions get. Nothing here chooses: the reason comes from the caller.
+"""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable, Mapping
+
+from lotuspick.core.actions import ForwardAttempt
+from lotuspick.core.events import AttemptEnded, Event, ViewerDisconnected
+from lotuspick.routing.indeterminate_attempts import IndeterminateAttempts
+from lotuspick.routing.interfaces import AttemptRequest, EdgeServers, ViewerConnection
+from lotuspick.routing.session_table import SessionEntry, SessionTable
+from lotuspick.routing.termination import ATTEMPT_OUTCOMES, SERVER_STILL_ALIVE, TerminationReason
+from lotuspick.routing.timers import TimerQueue
+from lotuspick.routing.viewer_connections import ViewerConnections
+
+log = logging.getLogger(__name__)
+
+US_PER_MS = 1_000
+
+
+def send_if_open(viewer: ViewerConnection | None, send: Callable[[ViewerConnection], None]) -> None:
+    """Call ``send`` with the viewer connection, if there is one and it is open."""
+    if viewer is not None and viewer.is_open:
+        send(viewer)
+
+
+class SessionLifecycle:
+    """Owns the session table, the viewer connections, the timers and the attempts whose end is unknown."""
+
+    def __init__(self, edge_servers: EdgeServers, clock: Callable[[], int]) -> None:
+        """Start without sessions; ``clock`` gives whole microseconds."""
+        self.edge_servers, self.clock = edge_servers, clock
+        self.sessions = SessionTable()
+        self.connections = ViewerConnections()
+        self.timers = TimerQueue()
+        self.indeterminate = IndeterminateAttempts()  # withdrawn after they had left
+
+    def start_attempt(
+        self, action: ForwardAttempt, entry: SessionEntry, now: int
+    ) -> TerminationReason | None:
+        """Forward an open request to an edge server and start the timer of the attempt.
+
+        Returns:
+            The reason where the attempt could not even be queued; the caller has to report it as its end.
+        """
+        session, request = action.session, entry.request
+        self.sessions.begin_attempt(session, entry, action.server, now)
+        remaining_us = request.deadline_us - now
+        timeout_us = min(action.timeout_us, remaining_us) if action.timeout_us else remaining_us
+        attempt = entry.attempt
+        log.debug(
+            "attempt_forwarded",
+            extra={"session": session, "server": action.server, "attempt": attempt, "rung": entry.rung},
+        )
+        reason = self.edge_servers.start_attempt(
+            action.server,
+            AttemptRequest(
+                session,
+                request.session_class,
+                request.title,
+                entry.rung,
+                max(1, timeout_us // US_PER_MS),
+                entry.description,
+            ),
+        )
+        if reason is None:
+            self.timers.start(
+                now + max(0, timeout_us), lambda later: self._time_out(session, entry, attempt, later)
+            )
+        return reason
+
+    def end_attempt(
+        self,
+        session: str,
+        entry: SessionEntry,
+        reason: TerminationReason,
+        now: int,
+        load_report: Mapping[str, float] | None = None,
+    ) -> AttemptEnded:
+        """End the attempt that is out without an answer; the request stays open."""
+        log.debug(
+            "attempt_ended",
+            extra={
+                "session": session,
+                "server": entry.server,
+                "attempt": entry.attempt,
+                "reason": reason.value,
+            },
+        )
+        event = _attempt_ended(session, entry, reason, now, load_report)
+        self.sessions.end_attempt(session, entry)
+        return event
+
+    def withdraw_attempt(
+        self, session: str, entry: SessionEntry, reason: TerminationReason, now: int, *, final: bool
+    ) -> AttemptEnded:
+        """Take back the attempt that is out; where it had left already, its end stays unknown for a while."""
+        if self.edge_servers.cancel_attempt(entry.server, session):
+            reason = TerminationReason.UNSENT  # it never left the queue
+        else:
+            self.indeterminate.add(session, entry.server, now)
+        event = _attempt_ended(session, entry, reason, self.clock(), final=final)
+        self.sessions.end_attempt(session, entry)
+        return event
+
+    def cancel_request(self, session: str, entry: SessionEntry, now: int) -> list[Event]:
+        """Drop an open request whose viewer no longer waits; an attempt that is out is withdrawn."""
+        events: list[Event] = [ViewerDisconnected(session)]
+        if entry.is_forwarded:
+            reason = TerminationReason.CANCELLED_BY_VIEWER
+            events.append(self.withdraw_attempt(session, entry, reason, now, final=True))
+        self.sessions.forget(session, entry)
+        return events
+
+    def answer_request(
+        self, session: str, entry: SessionEntry, send: Callable[[ViewerConnection], None], now: int
+    ) -> None:
+        """Give an open request its one final answer by ``send``; an attempt that is out is withdrawn."""
+        if entry.viewer is not None and not entry.viewer.is_open:
+            self.sessions.continue_on_duplicate(session, entry, self.clock())
+        send_if_open(entry.viewer, send)
+        if entry.is_forwarded:
+            reason = TerminationReason.ANSWERED_MEANWHILE
+            event = self.withdraw_attempt(session, entry, reason, now, final=True)
+            self.timers.start(0, lambda _now: event)  # the decisions get it in the next tick
+        self.sessions.forget(session, entry)
+
+    def end_session(
+        self,
+        session: str,
+        entry: SessionEntry,
+        reason: TerminationReason,
+        now: int,
+        load_report: Mapping[str, float] | None = None,
+    ) -> AttemptEnded:
+        """End a session that plays; its viewer is informed unless the viewer ended it."""
+        event = _attempt_ended(session, entry, reason, now, load_report, final=True)
+        self.sessions.forget(session, entry)
+        if reason is not TerminationReason.REVOKED:
+            self.connections.release(session, entry.viewer, reason, now)
+        return event
+
+    def end_sessions_at(
+        self, server: str, reason: TerminationReason, now: int, before_us: int
+    ) -> list[Event]:
+        """End what plays at an edge server and was written before ``before_us``; attempts end singly."""
+        sessions = self.sessions.sessions_at(server) if before_us else []
+        return [
+            self.end_session(session, entry, reason, now)
+            for session in sessions
+            if (entry := self.sessions.entries[session]).is_playing and entry.written_at_us < before_us
+        ]
+
+    def release_all(self) -> None:
+        """End all sessions that play, at their edge servers and for their viewers: the broker stops."""
+        now = self.clock()
+        for session, entry in list(self.sessions.entries.items()):
+            if entry.is_playing:
+                self.edge_servers.release(entry.server, session, TerminationReason.BROKER_STOPPED)
+                self.end_session(session, entry, TerminationReason.BROKER_STOPPED, now)
+        self.connections.drop_releases_without_viewer()
+
+    def _time_out(self, session: str, entry: SessionEntry, attempt: int, now: int) -> Event | None:
+        if not entry.is_forwarded or entry.attempt != attempt:
+            return None  # the timer of an attempt that has ended
+        return self.withdraw_attempt(session, entry, TerminationReason.NO_ANSWER, now, final=False)
+
+
+def _attempt_ended(
+    session: str,
+    entry: SessionEntry,
+    reason: TerminationReason,
+    now: int,
+    load_report: Mapping[str, float] | None = None,
+    *,
+    final: bool = False,
+) -> AttemptEnded:
+    """Build the event for the decisions; a session that played was ended by its server."""
+    return AttemptEnded(
+        session,
+        entry.attempt,
+        entry.server,
+        ATTEMPT_OUTCOMES[reason],
+        final,
+        now - entry.forwarded_at_us,
+        load_report or {},
+        not entry.is_playing and reason in SERVER_STILL_ALIVE,
+    )
--- /dev/null
+++ b/lotuspick/routing/session_table.py
@@ -0,0 +1,175 @@
+"""The sessions of one broker: by id, by edge server and by viewer connection.
+
+:class:`SessionTable` alone changes its indexes, the phase of an entry and the duplicates of a request. Times
+are whole microseconds of the dispatcher's clock.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import Enum
+from typing import TypeVar
+
+from lotuspick.core.events import SessionRequest
+from lotuspick.routing.interfaces import ViewerConnection
+
+DUPLICATE_WINDOW_US = 100_000
+"""A duplicate that came at most so long before its request's connection closed is from the same viewer: the
+protocol allows a viewer 50 ms to send its request again."""
+
+_Key = TypeVar("_Key")
+
+
+class DispatchPhase(Enum):
+    """What the dispatcher waits for with a session."""
+
+    OPEN = "open"  # a request without an attempt: the decisions have to forward or answer it
+    FORWARDED = "forwarded"  # an attempt is out: its edge server has to answer
+    PLAYING = "playing"  # answered: it plays until one side ends it
+
+
+@dataclass(slots=True, eq=False)
+class SessionEntry:
+    """One session: an open request, or a session that plays. Compared by identity."""
+
+    request: SessionRequest
+    description: bytes = b""
+    viewer: ViewerConnection | None = None
+    server: str = ""
+    """Where its attempt is out or it plays; empty: nowhere."""
+    attempt: int = -1
+    rung: int = 0
+    forwarded_at_us: int = 0
+    written_at_us: int = 0
+    """When the attempt left; later than ``forwarded_at_us`` where a connection had to be set up first."""
+    phase: DispatchPhase = DispatchPhase.OPEN
+    duplicates: dict[ViewerConnection, int] = field(default_factory=dict)
+    """Other connections on which the same request came while it was open, and when."""
+
+    @property
+    def is_forwarded(self) -> bool:
+        """Whether an attempt is out."""
+        return self.phase is DispatchPhase.FORWARDED
+
+    @property
+    def is_playing(self) -> bool:
+        """Whether the session plays."""
+        return self.phase is DispatchPhase.PLAYING
+
+
+class SessionTable:
+    """All sessions that are open or play, and the indexes over them."""
+
+    def __init__(self) -> None:
+        """Start without sessions."""
+        self.entries: dict[str, SessionEntry] = {}
+        self.by_server: dict[str, set[str]] = {}
+        self.by_connection: dict[ViewerConnection, set[str]] = {}
+        self.open_request_count = 0
+
+    def add_request(self, session: str, entry: SessionEntry) -> None:
+        """Add an open request."""
+        self.entries[session] = entry
+        self._link(session, entry.viewer)
+        self.open_request_count += 1
+
+    def add_playing(self, session: str, entry: SessionEntry) -> None:
+        """Add a session that plays already at ``entry.server``."""
+        entry.phase = DispatchPhase.PLAYING
+        self._put(session, entry)
+        self._link(session, entry.viewer)
+
+    def begin_attempt(self, session: str, entry: SessionEntry, server: str, now: int) -> None:
+        """Count a new attempt of an open request, at ``server``."""
+        entry.attempt += 1
+        entry.server, entry.phase = server, DispatchPhase.FORWARDED
+        entry.forwarded_at_us = entry.written_at_us = now
+        self._put(session, entry)
+
+    def end_attempt(self, session: str, entry: SessionEntry) -> None:
+        """Take back the attempt that is out: the request is open without one."""
+        entry.phase = DispatchPhase.OPEN
+        self._leave_server(session, entry)
+
+    def begin_playing(self, session: str, entry: SessionEntry) -> None:
+        """Let an answered request play; its duplicates are answered with it."""
+        entry.phase = DispatchPhase.PLAYING
+        self.open_request_count -= 1
+        self._drop_duplicates(session, entry)
+
+    def forget(self, session: str, entry: SessionEntry) -> None:
+        """Remove a session, unless another has its id already. The entry keeps its phase."""
+        if self.entries.get(session) is entry:
+            del self.entries[session]
+            self._unlink(session, entry.viewer)
+            self._drop_duplicates(session, entry)
+            if not entry.is_playing:
+                self.open_request_count -= 1
+        self._leave_server(session, entry)
+
+    def add_duplicate(self, session: str, entry: SessionEntry, viewer: ViewerConnection, now: int) -> None:
+        """Note that an open request came again on another connection."""
+        entry.duplicates[viewer] = now
+        self._link(session, viewer)
+
+    def drop_duplicate(self, session: str, entry: SessionEntry, viewer: ViewerConnection) -> None:
+        """Forget a connection on which an open request came again."""
+        del entry.duplicates[viewer]
+        self._unlink(session, viewer)
+
+    def continue_on_duplicate(self, session: str, entry: SessionEntry, now: int) -> bool:
+        """Move an open request whose connection has closed to one on which it came again just before.
+
+        Returns:
+            False where there is none, so that its viewer has left.
+        """
+        for viewer, came_at_us in entry.duplicates.items():
+            if viewer.is_open and now - came_at_us <= DUPLICATE_WINDOW_US:
+                self._unlink(session, entry.viewer)
+                entry.viewer = viewer
+                del entry.duplicates[viewer]
+                return True
+        return False
+
+    def detach_viewer(self, session: str, entry: SessionEntry) -> None:
+        """Let a session play on without a viewer connection."""
+        self._unlink(session, entry.viewer)
+        entry.viewer = None
+
+    def sessions_on(self, viewer: ViewerConnection) -> list[str]:
+        """Sessions and requests of a connection, in the order of their ids."""
+        return sorted(self.by_connection.get(viewer, ()))
+
+    def sessions_at(self, server: str) -> list[str]:
+        """Sessions and attempts at an edge server, in the order of their ids."""
+        return sorted(self.by_server.get(server, ()))
+
+    def _put(self, session: str, entry: SessionEntry) -> None:
+        self.entries[session] = entry
+        self.by_server.setdefault(entry.server, set()).add(session)
+
+    def _leave_server(self, session: str, entry: SessionEntry) -> None:
+        _discard(self.by_server, entry.server, session)
+        entry.server = ""
+
+    def _link(self, session: str, viewer: ViewerConnection | None) -> None:
+        if viewer is not None:
+            self.by_connection.setdefault(viewer, set()).add(session)
+
+    def _unlink(self, session: str, viewer: ViewerConnection | None) -> None:
+        if viewer is not None:
+            _discard(self.by_connection, viewer, session)
+
+    def _drop_duplicates(self, session: str, entry: SessionEntry) -> None:
+        for viewer in entry.duplicates:
+            self._unlink(session, viewer)
+        entry.duplicates.clear()
+
+
+def _discard(index: dict[_Key, set[str]], key: _Key, session: str) -> None:
+    """Remove a session from an index, which keeps no key without sessions."""
+    sessions = index.get(key)
+    if sessions is not None:
+        sessions.discard(session)
+        if not sessions:
+            del index[key]
--- a/lotuspick/routing/termination.py
+++ b/lotuspick/routing/termination.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection, an attempt or a session can end, and what each tells the decisions."""
+"""Why a connection, an attempt or a session ends, and the outcome that the decisions get."""
 
 from __future__ import annotations
 
@@ -8,46 +8,44 @@
 
 
 class TerminationReason(Enum):
-    """One way to end. The value is the word used in log lines."""
+    """Why something ended. The value is the text in log lines and in messages to other processes."""
 
     # Nothing of the attempt left this process.
     DIAL_REFUSED = "dial-refused"
     DIAL_TIMEOUT = "dial-timeout"
     DIAL_FAILED = "dial-failed"  # no route, no descriptor left: nothing was connected
-    NO_ADDRESS = "no-address"  # the list has no address for this id, or gave it to another
+    NO_ADDRESS = "no-address"  # the endpoint list has no address for this id, or gave it to another
     QUEUE_FULL = "queue-full"
-    UNSENT = "unsent"  # still queued when its time was up, or when it was given up
-    # The edge server says that it turned the attempt away unseen.
+    UNSENT = "unsent"  # still queued when it timed out or was cancelled
+    # The edge server reports that it did not run the attempt.
     REJECTED_BY_SERVER = "turned-away"
     NOT_STARTED = "moot"
     # Bytes may have left: the attempt may have run.
-    RESET = "reset"  # the connection was reset; whether its process died shows at the next dial
-    CLOSED_BY_PEER = "closed"  # the other side closed in order, with the attempt open on it
-    SERVER_UNRESPONSIVE = "silent"  # the machine gives no sign and takes no new connection
-    MALFORMED = "malformed"  # the other side broke the framing and lost its connection
-    SETUP_INTERRUPTED = "broken"  # the edge server says that the set-up broke on its way
+    RESET = "reset"  # the connection was reset; whether the process died shows at the next dial
+    CLOSED_BY_PEER = "closed"  # closed in order, with the attempt open on it
+    SERVER_UNRESPONSIVE = "silent"  # the machine does not respond and accepts no new connection
+    MALFORMED = "malformed"  # the peer broke the framing and lost its connection
+    SETUP_INTERRUPTED = "broken"  # the edge server reports that the set-up was interrupted
     ADDRESS_CHANGED = "moved"  # the server's id has another address now
     SERVER_ERROR = "edge-error"
     NO_ANSWER = "no-answer"  # the attempt's time ran out
     CANCELLED_BY_VIEWER = "given-up"  # by the viewer, before an answer
-    ANSWERED_MEANWHILE = "overruled"  # the module answered the viewer while the attempt was out
-    # A session that stood.
+    ANSWERED_MEANWHILE = "overruled"  # the decisions answered the viewer while the attempt was out
+    # A session that played.
     FINISHED = "finished"
     INTERRUPTED = "cut"
-    SERVER_DOWN = (
-        "down"  # its process takes no connection any more, so that it died, and its sessions with it
-    )
+    SERVER_DOWN = "down"  # its process accepts no connection any more: it died, and its sessions with it
     REVOKED = "revoked"  # moved, or ended by its viewer
-    ENTITLEMENT_EXPIRED = "lapsed"  # what entitled its viewer to it is over, and was not renewed
-    SUPERSEDED = "superseded"  # its viewer, coming again, has another in its place
+    ENTITLEMENT_EXPIRED = "lapsed"  # its viewer's entitlement has expired and was not renewed
+    SUPERSEDED = "superseded"  # another session of the same viewer replaced it
     # Connections only.
     IDLE = "idle"
-    CONNECTION_LIMIT = "crowded"  # closed to keep inside the bounds
-    BROKER_STOPPED = "stopped"  # this process ends
+    CONNECTION_LIMIT = "crowded"  # closed to keep within the limit of connections
+    BROKER_STOPPED = "stopped"  # this process stops
 
 
 ATTEMPT_OUTCOMES: dict[TerminationReason, AttemptOutcome] = {
-    # Only these prove that nothing ran, so that a paid set-up may be sent again or refused.
+    # Only these prove that nothing ran, so that a paid session may be retried or rejected.
     TerminationReason.DIAL_REFUSED: AttemptOutcome.UNREACHABLE,
     TerminationReason.DIAL_TIMEOUT: AttemptOutcome.UNREACHABLE,
     TerminationReason.DIAL_FAILED: AttemptOutcome.UNREACHABLE,
@@ -77,7 +75,7 @@
     TerminationReason.CONNECTION_LIMIT: AttemptOutcome.LOST,
     TerminationReason.BROKER_STOPPED: AttemptOutcome.LOST,
 }
-"""What the module is told. The one place where endings become outcomes."""
+"""The outcome that the decisions get for each reason."""
 
 SERVER_STILL_ALIVE = frozenset(
     {
@@ -91,4 +89,4 @@
         TerminationReason.NO_ANSWER,
     }
 )
-"""An attempt that ends so tells of itself or its connection alone, not that the server's process is gone."""
+"""Reasons that concern the attempt or its connection alone: the process of the server may well be alive."""
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -182,10 +182,13 @@
                 self.daemon.loop.tick()  # the answer is written before the close is read
                 self.until(lambda: len(self.daemon.front.viewers) == 1)
                 self.until(lambda: not self.daemon.loop.inbox)
-                self.assertTrue(self.daemon.loop.table[ID.hex()].stands, "a session belongs to no connection")
+                self.assertTrue(
+                    self.daemon.loop.sessions.entries[ID.hex()].is_playing,
+                    "a session belongs to no connection",
+                )
                 edge.sendall(frame(b"\x0c" + ID + b"\x80\x00\x01\x10"))
                 self.hears(second, b"TEARDOWN")  # its end is told on another
-                self.assertEqual(self.daemon.loop.table, {})
+                self.assertEqual(self.daemon.loop.sessions.entries, {})
 
 
 class Pipe(StringTransport):
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -79,7 +79,9 @@
         self.until(lambda: self.daemon.front.viewers)
         self.until(lambda: not self.daemon.front.viewers)
         self.until(lambda: not self.daemon.loop.inbox)
-        self.assertEqual((self.daemon.loop.table, self.daemon.loop.open_set_ups), ({}, 0))
+        self.assertEqual(
+            (self.daemon.loop.sessions.entries, self.daemon.loop.sessions.open_request_count), ({}, 0)
+        )
 
 
 class HeldUpOverHttp(Stepped):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -17,7 +17,7 @@
 from lotuspick.lab.emulator.world import World, play
 from lotuspick.lab.experiment import model, run
 from lotuspick.lab.experiment.trials import blocks, moves
-from lotuspick.routing.dispatcher import SessionDispatcher
+from lotuspick.routing.message_handlers import MessageHandlers
 
 SMALL = Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, measure_from_s=10.0)
 NOISE = (
@@ -79,7 +79,7 @@
             self.assertIn("on the lowest rung", " ".join(play(SMALL, 1).books.broken))
         with (
             patch.object(Controller, "handle", lambda self, now, events: []),
-            patch.object(SessionDispatcher, "_overdue", lambda self, session, request: None),
+            patch.object(MessageHandlers, "_on_deadline", lambda self, session, request: None),
         ):
             self.assertIn("no outcome for", " ".join(play(SMALL, 1).books.broken))
         with patch.object(Controller, "_usable", lambda self, server: server.listed):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -230,7 +230,7 @@
             made.step()
             now[0] += 20_000
         calls.cancel.assert_called_once_with("s0", "a")
-        self.assertEqual(made.loop.table, {})
+        self.assertEqual(made.loop.sessions.entries, {})
 
     def test_an_http_node_that_is_still_dialled_is_dialled_no_more(self) -> None:
         reactor, posted = MemoryReactorClock(), list[Any]()
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -12,7 +12,7 @@
 from lotuspick.core.controller import Controller
 from lotuspick.core.events import AttemptEnded, ServerListUpdate, TimerFired
 from lotuspick.core.settings import ClassSettings, RetrySafety
-from lotuspick.routing import dispatcher
+from lotuspick.routing import dispatcher, message_handlers
 from lotuspick.routing.messages import SessionRequested
 
 NOW = 20 * SECOND
@@ -61,7 +61,7 @@
 def test_who_comes_while_all_that_can_be_held_is_open_is_told_to_return_as_the_settings_allow(
     monkeypatch: Any,
 ) -> None:
-    monkeypatch.setattr(dispatcher, "MOST_OPEN", 1)
+    monkeypatch.setattr(message_handlers, "MAX_OPEN_REQUESTS", 1)
     for gap_ms in (0, 700):
         told = Mock(is_open=True)
         made = dispatcher.SessionDispatcher(
@@ -78,7 +78,7 @@
         made.tick()
         told.rejected.assert_called_once_with("b", gap_ms)
     asked = [
-        dispatcher.stay_away_ms(settings(retry_after_allowed=after, max_retry_after_us=most))
+        dispatcher.overload_retry_after_ms(settings(retry_after_allowed=after, max_retry_after_us=most))
         for after, most in ((False, 2 * SECOND), (True, SECOND // 2), (True, 5 * SECOND))
     ]
     assert asked == [0, 500, 1_000]
--- a/tests/test_plugin.py
+++ b/tests/test_plugin.py
@@ -106,7 +106,7 @@
             self.run_for(SECOND // 10)
             self.assertEqual(self.answers.pop(), Failed(session) if sent else Refused(session, 1_000))
             self.plugin.servers(ServerListUpdate([entry(0), entry(1)], complete=True))
-            self.assertEqual(self.plugin.loop.table, {})
+            self.assertEqual(self.plugin.loop.sessions.entries, {})
 
     def test_a_refusal_says_when_to_come_back(self) -> None:
         self.ask("a", home_position=3, copies=1)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -14,7 +14,7 @@
 from lotuspick.core.controller import Controller
 from lotuspick.core.events import AttemptEnded, SessionRequest, SessionStarted, TimerFired, ViewerDisconnected
 from lotuspick.core.settings import ClassSettings, RetrySafety
-from lotuspick.routing.dispatcher import AGAIN_US, SessionDispatcher
+from lotuspick.routing.dispatcher import SessionDispatcher
 from lotuspick.routing.indeterminate_attempts import IndeterminateAttempts
 from lotuspick.routing.messages import (
     AttemptAnswered,
@@ -22,6 +22,7 @@
     SessionRequested,
     ViewerConnectionClosed,
 )
+from lotuspick.routing.session_table import DUPLICATE_WINDOW_US
 from lotuspick.routing.termination import TerminationReason
 
 ASKED = """
@@ -137,12 +138,12 @@
         self.edges.release.assert_called_once_with("e", "s", TerminationReason.REVOKED)
         self.assertFalse([each for each in self.told if isinstance(each, SessionStarted)])
         self.assertEqual([each.session for each in self.told if isinstance(each, ViewerDisconnected)], ["s"])
-        self.assertEqual((self.loop.table, self.loop.open_set_ups), ({}, 0))
+        self.assertEqual((self.loop.sessions.entries, self.loop.sessions.open_request_count), ({}, 0))
 
     def test_a_copy_goes_on_for_a_connection_that_ends_just_after_it_and_never_for_one_that_stays(
         self,
     ) -> None:
-        for gap_us, told in ((0, True), (AGAIN_US, True), (AGAIN_US + 1, False)):
+        for gap_us, told in ((0, True), (DUPLICATE_WINDOW_US, True), (DUPLICATE_WINDOW_US + 1, False)):
             self.setUp()
             now = [1_000]
             self.loop.clock = lambda now=now: now[0]
@@ -155,9 +156,9 @@
             first.open = False
             self.play(ViewerConnectionClosed(first), AttemptAnswered("e", "s", b"one"))
             first.served.assert_not_called()
-            self.assertEqual((second.served.called, "s" in self.loop.table), (told, told))
+            self.assertEqual((second.served.called, "s" in self.loop.sessions.entries), (told, told))
             self.play(ViewerConnectionClosed(second))
-            self.assertEqual(self.loop.by_viewer, {})
+            self.assertEqual(self.loop.sessions.by_connection, {})
 
     def test_what_becomes_of_a_copy_s_connection_costs_the_request_nothing(self) -> None:
         first, second, third = (Mock(is_open=True) for _ in range(3))
@@ -175,7 +176,7 @@
         )
         first.served.assert_called_once_with("s", b"one")
         self.play(EdgeServerReleased("e", "s", TerminationReason.SERVER_ERROR, TerminationReason.FINISHED))
-        self.assertEqual((self.loop.table, self.loop.by_viewer), ({}, {}))
+        self.assertEqual((self.loop.sessions.entries, self.loop.sessions.by_connection), ({}, {}))
 
     def test_a_flood_of_copies_is_looked_at_until_its_connection_is_closed_and_no_further(self) -> None:
         """Each would cost a line: some hundred fill the pipe that they go to, and the whole broker waits for it."""
@@ -187,7 +188,7 @@
         )
         viewer.close_with_error.assert_called_once()
         viewer.failed.assert_not_called()
-        self.assertEqual((self.loop.table, self.loop.by_viewer), ({}, {}))
+        self.assertEqual((self.loop.sessions.entries, self.loop.sessions.by_connection), ({}, {}))
 
     def test_a_request_and_the_word_that_its_viewer_left_in_one_look_send_nothing(self) -> None:
         viewer = Mock(is_open=True)
@@ -196,7 +197,7 @@
             ViewerConnectionClosed(viewer),
         )
         self.edges.start_attempt.assert_not_called()
-        self.assertEqual((self.loop.table, self.loop.open_set_ups), ({}, 0))
+        self.assertEqual((self.loop.sessions.entries, self.loop.sessions.open_request_count), ({}, 0))
 
     def test_a_second_answer_and_a_word_of_another_server_change_nothing(self) -> None:
         viewer = Mock(is_open=True)
@@ -210,7 +211,7 @@
         viewer.served.assert_called_once_with("s", b"one")
         self.edges.release.assert_not_called()
         self.assertFalse([each for each in self.told if isinstance(each, AttemptEnded)])
-        self.assertTrue(self.loop.table["s"].stands)
+        self.assertTrue(self.loop.sessions.entries["s"].is_playing)
 
 
 class Decisions(unittest.TestCase):
--- a/tests/test_turnover.py
+++ b/tests/test_turnover.py
@@ -142,11 +142,11 @@
             loop.post(EndpointListChanged(ServerListUpdate([gone, self.node(at, started_us=self.now_us)])))
         loop.post(ViewerConnectionClosed(viewer))
         viewer.is_open = False
-        for session, standing in list(loop.table.items()):  # nothing plays for longer
-            if standing.stands:
+        for session, standing in list(loop.sessions.entries.items()):  # nothing plays for longer
+            if standing.is_playing:
                 loop.post(
                     EdgeServerReleased(
-                        standing.edge, session, TerminationReason.NO_ANSWER, TerminationReason.FINISHED
+                        standing.server, session, TerminationReason.NO_ANSWER, TerminationReason.FINISHED
                     )
                 )
         self.until(began_us + STEP_S * SECOND)
@@ -166,7 +166,7 @@
                 week.step()
             kept.append(entries(week.loop))
         self.assertGreater(week.made, 12_000)
-        self.assertFalse(week.loop.table)
+        self.assertFalse(week.loop.sessions.entries)
         more = {
             path: (kept[0].get(path, 0), count)
             for path, count in kept[-1].items()
