--- a/lotuspick/program/daemon.py
+++ b/lotuspick/program/daemon.py
@@ -22,7 +22,7 @@
 from lotuspick.program.configuration import Config, ConfigError
 from lotuspick.protocol.endpoint_events import Change
 from lotuspick.protocol.rtsp import Terms
-from lotuspick.routing.dispatcher import SessionDispatcher, stay_away_ms
+from lotuspick.routing.dispatcher import SessionDispatcher, overload_retry_after_ms
 from lotuspick.routing.interfaces import EdgeServers
 from lotuspick.routing.messages import EndpointListChanged, InboundMessage
 from lotuspick.transport.edge_servers.edge_pool import EdgeLimits, EdgePool
@@ -71,7 +71,7 @@
             self._wake,
             config.period_us,
             classes,
-            stay_away_ms(config.settings),
+            overload_retry_after_ms(config.settings),
         )
         self.rtsp_server = RtspServer(
             reactor,
@@ -158,7 +158,7 @@
         if self.stopping:
             return
         self.stopping = True
-        log.info("shutdown_started", extra={"sessions": len(self.dispatcher.table)})
+        log.info("shutdown_started", extra={"sessions": len(self.dispatcher.sessions.entries)})
         now_s = self.reactor.seconds()
         play_s = max(ACCEPT_AFTER_SIGTERM_S, self.config.grace_us / SECOND - RELEASE_BEFORE_KILL_S)
         self.reactor.callLater(
@@ -214,7 +214,7 @@
         """
         if self.dispatcher.has_pending_work:
             return True
-        return sessions_may_play and bool(self.dispatcher.table or self._has_unread_input())
+        return sessions_may_play and bool(self.dispatcher.sessions.entries or self._has_unread_input())
 
     def _has_unread_input(self) -> bool:
         """Whether a connection or a message has come that was not looked at yet."""
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -188,11 +188,12 @@
                 self.until(lambda: len(self.daemon.rtsp_server.connections) == 1)
                 self.until(lambda: not self.daemon.dispatcher.inbox)
                 self.assertTrue(
-                    self.daemon.dispatcher.table[ID.hex()].stands, "a session belongs to no connection"
+                    self.daemon.dispatcher.sessions.entries[ID.hex()].is_playing,
+                    "a session belongs to no connection",
                 )
                 edge.sendall(frame(b"\x0c" + ID + b"\x80\x00\x01\x10"))
                 self.hears(second, b"TEARDOWN")  # its end is told on another
-                self.assertEqual(self.daemon.dispatcher.table, {})
+                self.assertEqual(self.daemon.dispatcher.sessions.entries, {})
 
 
 class Pipe(StringTransport):
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -83,7 +83,10 @@
         self.until(lambda: self.daemon.rtsp_server.connections)
         self.until(lambda: not self.daemon.rtsp_server.connections)
         self.until(lambda: not self.daemon.dispatcher.inbox)
-        self.assertEqual((self.daemon.dispatcher.table, self.daemon.dispatcher.open_set_ups), ({}, 0))
+        self.assertEqual(
+            (self.daemon.dispatcher.sessions.entries, self.daemon.dispatcher.sessions.open_request_count),
+            ({}, 0),
+        )
 
 
 class HeldUpOverHttp(Stepped):
