--- a/lotuspick/lab/net/fleet.py
+++ b/lotuspick/lab/net/fleet.py
@@ -11,8 +11,8 @@
 
 from lotuspick.lab.net.story import Fault, draw, rest, write
 from lotuspick.lab.net.world import MS, Host, Weather, World
-from lotuspick.membership.members import Begin, Members
-from lotuspick.membership.model import Changed, Displaced, Rules, State
+from lotuspick.membership.members import Members
+from lotuspick.membership.model import Begin, Changed, Displaced, Rules, State
 from lotuspick.state_machine import CommandReceived, SendMessage
 
 SECOND = 1_000_000
@@ -46,7 +46,7 @@
         """What each that is up and takes part believes."""
         return {
             tuple(
-                (each.name, each.life, each.state)
+                (each.name, each.incarnation, each.state)
                 for each in sorted(host.machine.records.values(), key=lambda each: each.name)
             )
             for host in self.taking_part()
@@ -194,11 +194,11 @@
             made.stall(made.random.choice(made.names), made.random.randrange(50 * MS, 999 * MS))
         made.run(SECOND)
     dead = {
-        (news.record.process, news.record.turn)
+        (news.record.process, news.record.refutation)
         for _, _, news in made.told
         if isinstance(news, Changed) and news.record.state is State.DEAD
     }
-    accused = sum(host.machine.false_accusations for host in made.hosts.values())
+    accused = sum(host.machine.detector.false_suspicions for host in made.hosts.values())
     return {
         "hours": seconds * len(made.names) / 3_600,
         "deaths": float(len(dead)),
--- a/lotuspick/membership/constraints.py
+++ b/lotuspick/membership/constraints.py
@@ -1,4 +1,4 @@
-"""What the standing of a broker leaves open to its sessions: the seam's side of membership. Pure."""
+"""The membership side of placement: what the quorum state of a broker leaves open to its sessions. Pure."""
 
 from __future__ import annotations
 
@@ -8,38 +8,49 @@
 from lotuspick.core.actions import Observation
 from lotuspick.core.constraints import UNCONSTRAINED, PlacementConstraint
 from lotuspick.core.events import SessionRequest
-from lotuspick.membership.quorum import PAID, QuorumState, QuorumTracker
+from lotuspick.membership.quorum import Permission, QuorumState, QuorumTracker
 
-GAP_US = 1_000_000
+DEFAULT_RETRY_AFTER_US = 1_000_000  # long enough for a cut to be noticed or a start to settle, in most cases
 
 
 class MembershipConstraints:
-    """Turns paid sessions away, at once and with a gap, while the standing does not allow new promises. Plain sessions
-    are never asked about. ``clock`` is the one by which the standing is followed (us): one that goes on while the
-    machine sleeps, so that whoever was away knows it before it promises anything."""
+    """Rejects paid sessions at once while the quorum state does not allow new promises.
+
+    Plain sessions are never constrained.
+
+    Args:
+        quorum: the tracker of this broker's quorum state. paid: classes whose sessions are paid for. clock:
+        by which the quorum state is tracked (us). It goes on while the machine sleeps, so that a process that
+            was away knows it before it promises anything.
+        retry_after_us: given with each rejection.
+    """
 
     max_wait_us = 0
 
     def __init__(
-        self, standings: QuorumTracker, paid: frozenset[str], clock: Callable[[], int], gap_us: int = GAP_US
+        self,
+        quorum: QuorumTracker,
+        paid: frozenset[str],
+        clock: Callable[[], int],
+        retry_after_us: int = DEFAULT_RETRY_AFTER_US,
     ) -> None:
-        self.standings, self.paid, self.clock, self.gap_us = standings, paid, clock, gap_us
-        self.turned_away: Counter[QuorumState] = Counter()
-        self._away = {
-            standing: PlacementConstraint(reason=f"fleet-{standing.name.lower()}", retry_after_us=gap_us)
-            for standing in QuorumState
+        self.quorum, self.paid, self.clock, self.retry_after_us = quorum, paid, clock, retry_after_us
+        self.rejections: Counter[QuorumState] = Counter()
+        self._rejections_by_state = {
+            state: PlacementConstraint(reason=f"fleet-{state.name.lower()}", retry_after_us=retry_after_us)
+            for state in QuorumState
         }
 
-    def constraint_for(self, now: int, request: SessionRequest) -> PlacementConstraint:
+    def constraint_for(self, _now: int, request: SessionRequest) -> PlacementConstraint:
         """See :class:`lotuspick.core.constraints.ConstraintProvider`."""
         if request.session_class not in self.paid:
             return UNCONSTRAINED
-        at = self.clock()
-        if self.standings.may(PAID, at):
+        awake_us = self.clock()
+        if self.quorum.may(Permission.PAID, awake_us):
             return UNCONSTRAINED
-        standing = self.standings.at(at)
-        self.turned_away[standing] += 1
-        return self._away[standing]
+        state = self.quorum.state_at(awake_us)
+        self.rejections[state] += 1
+        return self._rejections_by_state[state]
 
     def on_event(self, now: int, fact: Observation) -> None:
-        """Nothing that happens to a session changes a standing."""
+        """Ignore what happens to sessions: it does not change the quorum state."""
--- a/lotuspick/membership/model.py
+++ b/lotuspick/membership/model.py
@@ -1,7 +1,9 @@
-"""Values and messages of membership, checked at the border.
+"""Values, commands and messages of membership, validated where they enter.
 
 What is known of a broker is one :class:`Record`. Records merge without order: of two of one name the one that
-:meth:`Record.beats` the other stands, so all who have heard the same believe the same, in whatever order it came.
+:meth:`Record.supersedes` the other stands, so all who have received the same believe the same, in any order.
+
+Fields of messages are keys on the wire: one that is renamed keeps its key by ``msgspec.field(name=...)``.
 """
 
 from __future__ import annotations
@@ -11,11 +13,20 @@
 
 import msgspec
 
-MOST_TEXT, MOST_OFFERS, MOST_RECORDS = 64, 16, 2_000
+MAX_TEXT_LENGTH = 64  # characters of each text in a record
+MAX_OFFERS = 16  # in a record
+MAX_RECORDS = 2_000  # in one message
+
+
+class MembershipError(ValueError):
+    """A value that cannot be used; the text names it."""
 
 
 class State(IntEnum):
-    """What is believed of a process; of one process the higher one wins and stays."""
+    """What is believed of a process; of one process the higher one wins and stays.
+
+    Numbers go over the wire and names into log lines: neither may change.
+    """
 
     ALIVE = 0
     DEAD = 1
@@ -26,45 +37,48 @@
     """What is believed of the broker of a name."""
 
     name: str
-    life: int
+    incarnation: int = msgspec.field(name="life")
     """Rises with each start of a process under the name, whether its disk was kept or not."""
-    run: int
-    """Drawn at the start: tells two processes apart that claim one name and life."""
-    turn: int = 0
-    """Raised by the process itself, to refute what is said of it."""
+    process_id: int = msgspec.field(name="run")
+    """Drawn at the start: tells two processes apart that claim one name and incarnation."""
+    refutation: int = msgspec.field(default=0, name="turn")
+    """Raised by the process itself, to refute what is reported of it (SWIM's incarnation number)."""
     state: State = State.ALIVE
     address: str = ""
     """host:port of its link."""
     zone: str = ""
     version: str = ""
     offers: tuple[str, ...] = ()
-    """What it can be asked for by others."""
+    """What others can ask it for."""
 
     @property
     def process(self) -> tuple[str, int, int]:
-        """Which process it speaks of."""
-        return self.name, self.life, self.run
+        """Which process it is about."""
+        return self.name, self.incarnation, self.process_id
 
     @property
     def rank(self) -> tuple[int, int, bool, int, int]:
-        """By which records of one name are in order: a later process stands against an earlier one, whatever became of
-        that. Of one process that it left stands against all else, as it does not come back; that it is dead against
-        what it said before, and its own later turn against that."""
-        return self.life, self.run, self.state is State.LEFT, self.turn, self.state
+        """The order of records of one name.
 
-    def beats(self, other: Record) -> bool:
+        A later process ranks above an earlier one, whatever became of that. Of one process that it left ranks
+        above all else, as it does not come back; that it is dead above what it said before, and its own later
+        refutation above that.
+        """
+        return self.incarnation, self.process_id, self.state is State.LEFT, self.refutation, self.state
+
+    def supersedes(self, other: Record) -> bool:
         """Whether it stands against another of the same name."""
         return self.rank > other.rank
 
 
 class Suspicion(msgspec.Struct, frozen=True, tag="a"):
-    """A watcher has heard nothing of a process for too long. It goes out of date unless it is said again."""
+    """A watcher has heard nothing of a process for too long. It expires unless it is reported again."""
 
     name: str
-    life: int
-    run: int
-    turn: int
-    by: str
+    incarnation: int = msgspec.field(name="life")
+    process_id: int = msgspec.field(name="run")
+    refutation: int = msgspec.field(name="turn")
+    suspected_by: str = msgspec.field(name="by")
 
 
 News = Record | Suspicion
@@ -78,15 +92,16 @@
 
 
 class Ack(msgspec.Struct, frozen=True, tag="ack"):
-    """The sign. ``of``: whose it is, where another broker passes it on."""
+    """The sign of life."""
 
     number: int
-    of: str = ""
+    member: str = msgspec.field(default="", name="of")
+    """Whose sign of life it is; another broker may have relayed it."""
     news: list[News] = []
 
 
 class Relay(msgspec.Struct, frozen=True, tag="relay"):
-    """Asks a third broker to ping one that does not answer: the way there may be cut for the asker alone."""
+    """Asks a third broker to ping one that does not answer: the link may be cut for the sender alone."""
 
     number: int
     target: str
@@ -94,14 +109,15 @@
 
 
 class Sync(msgspec.Struct, frozen=True, tag="sync"):
-    """All that the sender believes. ``answer``: whether it wants the same in return."""
+    """All that the sender believes."""
 
     records: list[Record]
     answer: bool = False
+    """Whether the sender wants the same in return."""
 
 
 class Digest(msgspec.Struct, frozen=True, tag="digest"):
-    """What the sender believes of the living, in one number: who believes otherwise answers with all that it does."""
+    """What the sender believes of the living, in one number; a receiver that differs answers with a Sync."""
 
     value: int
 
@@ -109,8 +125,54 @@
 Message = Ping | Ack | Relay | Sync | Digest
 
 
-class MembershipError(ValueError):
-    """A value that cannot be used; the text names it."""
+@dataclass(frozen=True, slots=True)
+class Begin:
+    """Command at the start, after ``ProcessStarted``: who this broker is, and where to find others."""
+
+    name: str
+    address: str
+    seeds: tuple[str, ...] = ()
+    zone: str = ""
+    version: str = ""
+    offers: tuple[str, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class Leave:
+    """Command: leave the fleet, and say so to others."""
+
+
+@dataclass(frozen=True, slots=True)
+class Drain:
+    """Command: take a member out of the fleet, whether it is alive or dead for good.
+
+    It stays out until a later process comes under its name.
+    """
+
+    name: str
+
+
+@dataclass(frozen=True, slots=True)
+class Changed:
+    """Notification: what is now believed of a member, who reported it and why."""
+
+    record: Record
+    source: str
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class Displaced:
+    """Notification: another process has this broker's name, and stands; this one is to stop."""
+
+    record: Record
+
+
+@dataclass(frozen=True, slots=True)
+class Stalled:
+    """Notification: this process was away for a time (us), and what it believed before may be out of date."""
+
+    away_us: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,42 +184,33 @@
     watchers: int = 4
     """Rings, on each of which a member watches the next: so many watch each member."""
     silent_us: int = 700_000
-    """A watched member that gives no sign for so long is accused ..."""
+    """A watched member without a sign of life for so long is suspected ..."""
     doubt_us: int = 1_300_000
-    """... and is dead where the accuser itself has had neither a sign nor a refutation for so long ..."""
+    """... and is dead where the suspecting broker itself got no sign and no refutation for so long ..."""
     quorum: int = 2
-    """... and so many of its watchers say so, or as many as it has."""
+    """... and so many of its watchers suspect it, or as many as it has."""
     sync_us: int = 1_000_000
-    """Between exchanges of all that is believed, one with a live member and one with one that is dead or a seed."""
+    """Between exchanges of all that is believed, with a live member and with one that is dead or a seed."""
     piggyback: int = 8
     """Pieces of news that a message carries at most."""
     spread: int = 4
-    """A piece of news is sent by each so many times the logarithm of their number."""
-    graveyard: int = 1_000
+    """Each member sends a piece of news so many times the logarithm of their number."""
+    max_tombstones: int = 1_000
     """Records of members that are dead or have left; the oldest go first."""
     forget_us: int = 3_600_000_000
-    """They are kept so long."""
+    """Tombstones are kept so long."""
 
     def __post_init__(self) -> None:
-        for name in (
-            "period_us",
-            "watchers",
-            "quorum",
-            "sync_us",
-            "piggyback",
-            "spread",
-            "graveyard",
-            "forget_us",
-        ):
-            if not isinstance(getattr(self, name), int) or getattr(self, name) < 1:
-                raise MembershipError(
-                    f"{name} must be a whole number of 1 or more, not {getattr(self, name)!r}"
-                )
-        if self.silent_us < 2 * self.period_us:
+        for name in POSITIVE_RULES:
+            value = getattr(self, name)
+            if not isinstance(value, int) or value < 1:
+                raise MembershipError(f"{name} must be a whole number of 1 or more, not {value!r}")
+        shortest_us = 2 * self.period_us  # pings are lost singly
+        if self.silent_us < shortest_us:
             raise MembershipError(
                 f"silent_us must be two periods or more, not {self.silent_us}: pings are lost singly"
             )
-        if self.doubt_us < 2 * self.period_us:
+        if self.doubt_us < shortest_us:
             raise MembershipError(
                 f"doubt_us must be two periods or more, not {self.doubt_us}: the accused are heard"
             )
@@ -165,40 +218,37 @@
             raise MembershipError(f"quorum must be at most watchers, {self.watchers}, not {self.quorum}")
 
 
-@dataclass(frozen=True, slots=True)
-class Changed:
-    """News for the broker: what is now believed of a member, and who said so and why."""
+POSITIVE_RULES = (
+    "period_us",
+    "watchers",
+    "quorum",
+    "sync_us",
+    "piggyback",
+    "spread",
+    "max_tombstones",
+    "forget_us",
+)
 
-    record: Record
-    by: str
-    why: str
 
+def validated(record: Record) -> Record:
+    """Return a record as it is.
 
-@dataclass(frozen=True, slots=True)
-class Displaced:
-    """Another process has this broker's name, and stands: this one is to stop."""
-
-    record: Record
-
-
-@dataclass(frozen=True, slots=True)
-class Stalled:
-    """This process was away for a time (us): what it believed before may be out of date."""
-
-    away_us: int
-
-
-def checked(record: Record) -> Record:
-    """Raises :class:`MembershipError` for a record that no broker would send."""
+    Raises:
+        MembershipError: no broker would send it.
+    """
     for key, text in (
         ("name", record.name),
         ("address", record.address),
         ("zone", record.zone),
         ("version", record.version),
-        *(("offers", each) for each in record.offers),
+        *(("offers", offer) for offer in record.offers),
     ):
-        if len(text) > MOST_TEXT or not text.isprintable() or key == "name" and not text:
-            raise MembershipError(f"{key} must be 1 to {MOST_TEXT} printable characters, not {text[:40]!r}")
-    if len(record.offers) > MOST_OFFERS or min(record.life, record.run, record.turn) < 0:
-        raise MembershipError(f"record of {record.name}: offers, life, run or turn is out of bounds")
+        if len(text) > MAX_TEXT_LENGTH or not text.isprintable() or (key == "name" and not text):
+            raise MembershipError(
+                f"{key} must be 1 to {MAX_TEXT_LENGTH} printable characters, not {text[:40]!r}"
+            )
+    if len(record.offers) > MAX_OFFERS or min(record.incarnation, record.process_id, record.refutation) < 0:
+        raise MembershipError(
+            f"record of {record.name}: offers, incarnation, process_id or refutation is out of bounds"
+        )
     return record
--- /dev/null
+++ b/lotuspick/membership/view.py
@@ -0,0 +1,213 @@
+"""One broker's view of the fleet: its own record, what it believes of others, joining and leaving. Pure.
+
+:class:`MembershipView` holds the state and the rules by which reports are believed. Its subclass
+:class:`~lotuspick.membership.members.Members` adds what it takes from messages and timers. Only these two
+change the state.
+"""
+
+from __future__ import annotations
+
+import random
+
+import msgspec
+
+from lotuspick.membership.failure_detector import FailureDetector
+from lotuspick.membership.gossip import GossipQueue
+from lotuspick.membership.model import (
+    Begin,
+    Changed,
+    Displaced,
+    Message,
+    Record,
+    Rules,
+    State,
+    Sync,
+    validated,
+)
+from lotuspick.membership.table import MembershipTable
+from lotuspick.state_machine import Effect, Notify, PersistRecord, SendMessage, StartTimer
+
+PERIOD_TIMER = "period"
+INCARNATION_KEY = "life"  # of the record on disk
+MIN_FAREWELLS = 3  # members that are told directly that this broker leaves, at least
+
+
+class MembershipView:
+    """What one broker believes of all. Peers are named by the addresses of their links."""
+
+    def __init__(self, rules: Rules | None = None) -> None:
+        self.rules = rules or Rules()
+        self.own: Record | None = None
+        self.seeds: tuple[str, ...] = ()
+        self.table = MembershipTable(self.rules.max_tombstones, self.rules.forget_us)
+        self.records = self.table.records  # by name; this broker's own is among them
+        self.detector = FailureDetector(self.rules)
+        self.joined = False  # an answer of the fleet has come, or there are no seeds
+        self.displaced = self.left = False
+        self.refutations = 0  # of what others reported of this broker
+        self._gossip = GossipQueue(self.rules.spread, self.rules.piggyback)
+        self._random = random.Random(0)
+        self._incarnation = 0
+        self._rings_outdated = False  # who is alive has changed since the monitoring rings were drawn
+        self._period_began_us = self._synced_us = 0
+        self._effects: list[Effect] = []
+        self._now = 0
+
+    def alive(self) -> list[Record]:
+        """Those who are believed to be alive, this broker included, by name."""
+        return self.table.alive()
+
+    def reached(self) -> list[Record]:
+        """Those who are heard by this broker and hear it, as far as it knows.
+
+        It counts itself, and nobody who is suspected or who suspects this broker. One that is cut off
+        declares nobody dead where no other watcher agrees, but it reaches nobody.
+        """
+        suspected, unheard_by = self.detector.suspected, self.detector.unheard_by
+        return [
+            record
+            for record in self.alive()
+            if record.name not in suspected and record.name not in unheard_by
+        ]
+
+    def suspected(self) -> dict[str, tuple[str, ...]]:
+        """Who is suspected at present, and by whom."""
+        return {name: tuple(sorted(member.by)) for name, member in self.detector.suspected.items()}
+
+    @property
+    def _takes_part(self) -> bool:
+        return self.own is not None and not self.displaced and not self.left
+
+    @property
+    def _own_name(self) -> str:
+        return self._own_record.name
+
+    @property
+    def _own_record(self) -> Record:
+        assert self.own is not None, "nothing is sent or believed before Begin"
+        return self.own
+
+    # ---- joining and leaving ------------------------------------------------------------------------------
+
+    def _begin(self, begin: Begin) -> None:
+        self.seeds = tuple(seed for seed in begin.seeds if seed != begin.address)
+        self.joined = not self.seeds
+        self.own = validated(
+            Record(
+                begin.name,
+                self._incarnation,
+                self._random.getrandbits(63),
+                0,
+                State.ALIVE,
+                begin.address,
+                begin.zone,
+                begin.version,
+                begin.offers,
+            )
+        )
+        self._persist_incarnation()  # before any message that claims it
+        self._period_began_us = self._synced_us = self._now
+        self._accept(self.own, begin.name, "start")
+        delay_us = self._random.randrange(1, self.rules.period_us + 1)
+        self._effects.append(StartTimer(PERIOD_TIMER, delay_us))
+        self._sync_with_seeds()
+
+    def _persist_incarnation(self) -> None:
+        self._effects.append(PersistRecord(INCARNATION_KEY, b"%d" % self._incarnation))
+
+    def _sync_with_seeds(self) -> None:
+        """Learn what the fleet remembers of this name before anything is claimed under it."""
+        for seed in self.seeds:
+            self._send(seed, Sync([], answer=True), reliable=True)
+
+    def _leave(self) -> None:
+        if self.own is None or self.left:
+            return
+        own = self.own
+        record = msgspec.structs.replace(own, state=State.LEFT, refutation=own.refutation + 1)
+        self._go(record, own.name, "left")
+
+    def _go(self, record: Record, source: str, reason: str) -> None:
+        """Be out of the fleet: the last that this broker sends."""
+        addresses = [other.address for other in self.alive() if other.name != record.name]
+        count = min(len(addresses), max(MIN_FAREWELLS, self.rules.watchers))
+        for address in self._random.sample(addresses, count):
+            self._send(address, Sync([record]), reliable=True)
+        self.own, self.left = record, True
+        self._accept(record, source, reason)
+
+    def _drain(self, name: str) -> None:
+        """Take a member out for an operator. One that is alive receives the news, and leaves."""
+        record = self.records.get(name)
+        if name == self._own_name:
+            self._leave()
+        elif record is not None and record.state is not State.LEFT:
+            left = msgspec.structs.replace(record, state=State.LEFT, refutation=record.refutation + 1)
+            self._send(record.address, Sync([left]), reliable=True)
+            self._accept(left, self._own_name, "drained")
+
+    def _rise(self, remembered: Record) -> None:
+        """Take an incarnation above one that the fleet remembers: this process is the latest of its name."""
+        self._incarnation = max(self._incarnation, remembered.incarnation) + 1
+        self._persist_incarnation()
+        own = msgspec.structs.replace(self._own_record, incarnation=self._incarnation, refutation=0)
+        self.own = own
+        self._accept(own, own.name, "the fleet remembers an earlier life")
+
+    # ---- what is believed ---------------------------------------------------------------------------------
+
+    def _accept(self, record: Record, source: str, reason: str) -> None:
+        """Believe what is reported of a member, if it stands against what is believed."""
+        own, before = self.own, self.records.get(record.name)
+        if own is not None and not self.joined and record.name == own.name and record.process != own.process:
+            if record.incarnation >= own.incarnation:
+                self._rise(record)  # an earlier process of this name
+            return
+        if before is not None and not record.supersedes(before):
+            return
+        validated(record)
+        if own is not None and record.name == own.name and record != own:
+            self._on_report_of_self(record, source, reason)
+            return
+        self._store(record, before, source, reason)
+
+    def _store(self, record: Record, before: Record | None, source: str, reason: str) -> None:
+        alive = record.state is State.ALIVE
+        self.table.store(self._now, record, source, reason)
+        self.detector.clear(record.name, alive)  # suspicions of an earlier refutation
+        self._gossip.add(record)
+        if before is None or (before.process, before.state, before.address) != (
+            record.process,
+            record.state,
+            record.address,
+        ):
+            self._effects.append(Notify(Changed(record, source, reason)))
+            self._rings_outdated = True
+        if not alive:
+            self.detector.last_heard_us.pop(record.name, None)  # watched no longer, ahead of the next rings
+            self.table.forget_tombstones(self._now)
+
+    def _on_report_of_self(self, record: Record, source: str, reason: str) -> None:
+        """Others report of this broker's name what it did not say itself."""
+        own = self._own_record
+        if record.process == own.process:
+            if record.state is State.LEFT:  # drained
+                self._go(record, source, reason)
+            elif record.state is State.DEAD:
+                self._refute(record.refutation, "refuted")
+        elif record.state is not State.ALIVE or record.address == own.address:
+            self._rise(record)  # an earlier process that nobody reported on joining: dead, or at this address
+        else:
+            self.displaced = True
+            self.records[record.name] = record
+            self._effects.append(Notify(Displaced(record)))
+
+    def _refute(self, refutation: int, reason: str) -> None:
+        """Say that this broker is alive, by a higher number than the report that it refutes."""
+        self.refutations += 1
+        self.own = msgspec.structs.replace(self._own_record, refutation=refutation + 1)
+        self._accept(self.own, self.own.name, reason)
+
+    def _send(self, peer: str, message: Message, reliable: bool = False) -> None:
+        if not self.displaced:
+            self._effects.append(SendMessage(peer, message, reliable))
--- a/lotuspick/program/configuration.py
+++ b/lotuspick/program/configuration.py
@@ -25,7 +25,7 @@
     from lotuspick.cells.model import Plan
     from lotuspick.entitlement.seat_session import Rules
     from lotuspick.membership.model import Rules as Watch
-    from lotuspick.membership.quorum import StandingRules
+    from lotuspick.membership.quorum import QuorumRules
 
 DEFAULT_HINTS = Path("deploy/hints.toml")
 DEFAULT_TENANTS = Path("deploy/tenants.toml")
@@ -91,7 +91,7 @@
     seeds: tuple[str, ...]
     store: Path
     watch: Watch
-    standing: StandingRules
+    standing: QuorumRules
     control: tuple[str, int] | None = None
     """Where operators' commands are answered; None: nowhere."""
     offers: tuple[str, ...] = ()
@@ -341,9 +341,9 @@
     try:
         if not _get(told, "enabled", bool, False):
             return None
-        from lotuspick.membership.model import MOST_OFFERS, MOST_TEXT, MembershipError
+        from lotuspick.membership.model import MAX_OFFERS, MAX_TEXT_LENGTH, MembershipError
         from lotuspick.membership.model import Rules as Watch
-        from lotuspick.membership.quorum import StandingRules
+        from lotuspick.membership.quorum import QuorumRules
 
         listen = _address(told, "listen")
         _own(listen[0])
@@ -353,8 +353,8 @@
         seeds, offers = _texts(told, "seeds"), _texts(told, "offers")
         for seed in seeds:
             _address({"seeds": seed}, "seeds")
-        if len(offers) > MOST_OFFERS or any(len(each) > MOST_TEXT for each in offers):
-            raise ConfigError(f"offers must be {MOST_OFFERS} at most, of {MOST_TEXT} characters at most")
+        if len(offers) > MAX_OFFERS or any(len(each) > MAX_TEXT_LENGTH for each in offers):
+            raise ConfigError(f"offers must be {MAX_OFFERS} at most, of {MAX_TEXT_LENGTH} characters at most")
         via = _get(told, "via", dict, {})
         for peer in via:
             _address({"via": peer}, "via")
@@ -378,7 +378,7 @@
                 seeds,
                 path.parent / _get(told, "store", str),
                 Watch(**us),
-                StandingRules(brokers, settle_us, fresh_us=3 * us["period_us"], allowed=allowed),
+                QuorumRules(brokers, settle_us, fresh_us=3 * us["period_us"], allowed=allowed),
                 control,
                 offers,
                 via,
--- a/lotuspick/program/membership.py
+++ b/lotuspick/program/membership.py
@@ -12,8 +12,8 @@
 from lotuspick.core.operator_events import OperatorEvent
 from lotuspick.core.settings import RetrySafety
 from lotuspick.membership.constraints import MembershipConstraints
-from lotuspick.membership.members import Begin, Drain, Leave, Members
-from lotuspick.membership.model import Changed, Displaced, Record, Stalled, State
+from lotuspick.membership.members import Members
+from lotuspick.membership.model import Begin, Changed, Displaced, Drain, Leave, Record, Stalled, State
 from lotuspick.membership.quorum import QuorumTracker
 from lotuspick.program.components import Broker, Component
 from lotuspick.program.configuration import ConfigError
@@ -57,7 +57,7 @@
         self.fleet = MembershipConstraints(self.standings, paid, awake_us, told.gap_us)
         self.guide: ConstraintProvider | None = self.fleet
         self.seed = draw.getrandbits(62)
-        self._said = self.standings.now
+        self._said = self.standings.state
         self._ticks = self._stalls = 0
         self._port: Any = None
 
@@ -92,7 +92,7 @@
     def _told(self, news: Any) -> None:
         """What the members have to tell, each in a line of its own."""
         match news:
-            case Changed(record=record, by=by, why=why):
+            case Changed(record=record, source=by, reason=why):
                 log.info("member", extra={**line(record), "by": by, "why": why})
                 if record.state is not State.ALIVE:
                     self.link.gone(record.address)
@@ -108,7 +108,7 @@
 
     def _follow(self) -> None:
         """Each period the standing is looked at; a change is a line."""
-        standing = self.standings.see(awake_us(), self.members)
+        standing = self.standings.observe(awake_us(), self.members)
         if standing is not self._said:
             log.info(
                 "standing",
@@ -154,15 +154,15 @@
         """Figures since the start."""
         members = self.members
         return {
-            "standing": self.standings.at(awake_us()).name.lower(),
+            "standing": self.standings.state_at(awake_us()).name.lower(),
             "alive": len(members.alive()),
             "reached": len(members.reached()),
-            "accusations": members.accusations,
-            "false_accusations": members.false_accusations,
+            "accusations": members.detector.suspicions_raised,
+            "false_accusations": members.detector.false_suspicions,
             "refutations": members.refutations,
             "stalls": self._stalls,
-            "refused_messages": sum(members.refused.values()),
-            "paid_turned_away": self.fleet.turned_away.total(),
+            "refused_messages": sum(members.rejected.values()),
+            "paid_turned_away": self.fleet.rejections.total(),
             **{f"link_{key.replace('-', '_')}": count for key, count in sorted(self.link.counts.items())},
         }
 
@@ -196,22 +196,22 @@
     def _member(self, name: str) -> dict[str, Any]:
         members = self.members
         record = self._record(name)
-        by, why = members.because[name]
+        by, why = members.table.provenance[name]
         return {
             **line(record),
             "offers": list(record.offers),
-            "accused_by": list(members.accused().get(name, ())),
+            "accused_by": list(members.suspected().get(name, ())),
             "reached": record in members.reached(),
             "by": by,
             "why": why,
-            "since_s": round((awake_us() - members.since[name]) / 1e6, 1),
+            "since_s": round((awake_us() - members.table.changed_at_us[name]) / 1e6, 1),
         }
 
     def _explain(self, name: object) -> dict[str, Any]:
         return {
             "own": self.broker.config.name,
             "member": self._member(self._record(name).name),
-            **self.members.watched(self._record(name).name, awake_us()),
+            **self.members.explain(self._record(name).name, awake_us()),
         }
 
     def _drain(self, name: object) -> dict[str, Any]:
@@ -227,7 +227,7 @@
     return {
         "member": record.name,
         "state": record.state.name.lower(),
-        "life": record.life,
+        "life": record.incarnation,
         "address": record.address,
         "zone": record.zone,
         "version": record.version,
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -169,9 +169,7 @@
     """A broker that starts by a fixed seed; what it wants done is added to ``out``."""
     member = fleet_members.Members()
     out += member.step(1_000_000, ProcessStarted(records, 5))
-    begin = fleet_members.Begin(
-        "broker-x", "10.0.0.9:7400", ("10.0.0.1:7400",), "zone-2", "0.1.0", ("relay",)
-    )
+    begin = fleet_model.Begin("broker-x", "10.0.0.9:7400", ("10.0.0.1:7400",), "zone-2", "0.1.0", ("relay",))
     out += member.step(1_000_000, CommandReceived(begin))
     return member
 
@@ -180,7 +178,7 @@
     """What a broker wants done as it starts, joins, hears of an earlier self, is pinged and is asked for all."""
     out: list[Any] = []
     member = started_member(records, out)
-    earlier = fleet_record("broker-x", life=6)
+    earlier = fleet_record("broker-x", incarnation=6)
     for message in (
         fleet_model.Sync([fleet_record(), earlier]),
         fleet_model.Ping(11, [fleet_model.Record("broker-b", 1, 9, address="10.0.0.2:7400")]),
@@ -196,7 +194,7 @@
     """What a broker that knows one other, and no random number, answers to a digest."""
     member = fleet_members.Members()
     member.step(0, ProcessStarted({}, 5))
-    member.step(0, CommandReceived(fleet_members.Begin("broker-x", "10.0.0.9:7400")))
+    member.step(0, CommandReceived(fleet_model.Begin("broker-x", "10.0.0.9:7400")))
     member.step(0, MessageReceived("10.0.0.1:7400", fleet_model.Sync([fleet_record()])))
     return [
         each
@@ -272,12 +270,12 @@
 
 def fleet_reasons() -> dict[str, str]:
     """The reason with which a paid session is turned away in each standing; it goes out to viewers."""
-    rules = fleet_standing.StandingRules(3)
+    rules = fleet_standing.QuorumRules(3)
     request = SessionRequest(SESSION, "exam", "lesson", 0, 1, 0, 0)
     reasons = {}
     for standing in fleet_standing.QuorumState:
         standings = fleet_standing.QuorumTracker(rules)
-        standings.now = standing
+        standings.state = standing
         guide = fleet_guide.MembershipConstraints(standings, frozenset({"exam"}), lambda: 0)
         reasons[str(int(standing))] = guide.constraint_for(0, request).reason
     return reasons
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,11 +13,13 @@
 from lotuspick.lab.net.fleet import Fleet
 from lotuspick.lab.net.story import KINDS, Fault, StoryFault, parse, rest, write
 from lotuspick.lab.net.world import Weather
-from lotuspick.membership.members import LIFE, Begin, Leave, Members
+from lotuspick.membership.members import Members
 from lotuspick.membership.model import (
     Ack,
+    Begin,
     Changed,
     Displaced,
+    Leave,
     MembershipError,
     Ping,
     Record,
@@ -26,9 +28,10 @@
     State,
     Suspicion,
     Sync,
-    checked,
+    validated,
 )
-from lotuspick.membership.quorum import QuorumState, QuorumTracker, StandingRules
+from lotuspick.membership.quorum import QuorumRules, QuorumState, QuorumTracker
+from lotuspick.membership.view import INCARNATION_KEY
 from lotuspick.state_machine import (
     CommandReceived,
     EffectQueue,
@@ -81,7 +84,7 @@
             made.stall(made.random.choice(made.names), made.random.randrange(100_000, 990_000))
             made.run(SECOND)
         self.assertEqual(made.deaths(), [])
-        self.assertGreater(sum(host.machine.false_accusations for host in made.hosts.values()), 0)
+        self.assertGreater(sum(host.machine.detector.false_suspicions for host in made.hosts.values()), 0)
 
     def test_a_third_lost_buries_nobody_on_the_word_of_others(self) -> None:
         made = fleet(40, 1)  # an accuser is sure by its own time alone, however long others have accused
@@ -163,20 +166,22 @@
             if said.name != members._own_name:
                 heard(members, said)
 
-        heard = Members._doubted
+        heard = Members._on_suspicion
         with (
-            mock.patch.object(Members, "_doubted", deaf),
-            mock.patch.object(Members, "_sign", lambda *_: None),
+            mock.patch.object(Members, "_on_suspicion", deaf),
+            mock.patch.object(Members, "_on_sign_of_life", lambda *_: None),
         ):
             self.assertGreater(self.deaths(), 0)
 
     def test_without_going_round_a_cut_link_buries_the_living(self) -> None:
-        with mock.patch("lotuspick.membership.members.HELPERS", 0):
+        with mock.patch("lotuspick.membership.members.RELAYS", 0):
             made = fleet(5, 3, quorum=1)
             made.cut(made.names[:1], made.names[1:2])
             made.run(30 * SECOND)
             self.assertGreater(
-                len(made.deaths()) + sum(host.machine.false_accusations for host in made.hosts.values()), 0
+                len(made.deaths())
+                + sum(host.machine.detector.false_suspicions for host in made.hosts.values()),
+                0,
             )
 
     def test_one_that_forgets_its_life_is_told_apart_from_its_earlier_self_by_nothing(self) -> None:
@@ -185,7 +190,7 @@
             made.crash("h4")
             made.start("h4", wipe=True)
             made.agree_s()
-            self.assertNotEqual({host.machine.records["b4"].life for host in made.hosts.values()}, {2})
+            self.assertNotEqual({host.machine.records["b4"].incarnation for host in made.hosts.values()}, {2})
 
     def test_without_exchanges_halves_stay_apart(self) -> None:
         with mock.patch.object(Members, "_exchange", lambda *_: None):
@@ -206,7 +211,9 @@
                     made.run(int(away_s * SECOND))
                     made.start("h4", wipe)
                     self.assertLess(made.agree_s(), 5)
-                    self.assertEqual({host.machine.records["b4"].life for host in made.hosts.values()}, {2})
+                    self.assertEqual(
+                        {host.machine.records["b4"].incarnation for host in made.hosts.values()}, {2}
+                    )
                     self.assertEqual(made.news(Displaced), [])
 
     def test_all_at_once_wiped(self) -> None:
@@ -249,7 +256,7 @@
         self.assertLess(made.agree_s(), 5)
 
     def test_the_graveyard_is_bounded(self) -> None:
-        made = fleet(3, 13, graveyard=4)
+        made = fleet(3, 13, max_tombstones=4)
         for at in range(10):
             made.add(f"t{at}", Members, [CommandReceived(Begin(f"temp{at}", f"t{at}", ("h0",)))])
             made.start(f"t{at}")
@@ -261,7 +268,7 @@
 
     def test_the_dead_may_be_forgotten_before_the_rings_are_drawn_anew(self) -> None:
         for seed in range(8):
-            made = fleet(9, seed, graveyard=1)
+            made = fleet(9, seed, max_tombstones=1)
             for name in made.names[4:]:
                 made.crash(name)
             made.run(8 * SECOND)
@@ -279,13 +286,15 @@
                     Ping(
                         1,
                         [
-                            Suspicion("b1", of.life, of.run, of.turn, f"stranger{at}"),
-                            Suspicion("b0", 1, members.own.run, members.own.turn, f"stranger{at}"),
+                            Suspicion("b1", of.incarnation, of.process_id, of.refutation, f"stranger{at}"),
+                            Suspicion(
+                                "b0", 1, members.own.process_id, members.own.refutation, f"stranger{at}"
+                            ),
                         ],
                     ),
                 ),
             )
-        self.assertEqual((members.accused(), len(members.reached())), ({}, 3))
+        self.assertEqual((members.suspected(), len(members.reached())), ({}, 3))
 
     def test_messages_do_not_grow_with_the_fleet(self) -> None:
         rates = []
@@ -310,13 +319,13 @@
                     self.told += 1
                     if isinstance(news, Stalled):
                         self.standings[where].stalled(made.now_us)
-                seen[host.name].append(self.standings[host.name].see(made.now_us, host.machine))
+                seen[host.name].append(self.standings[host.name].observe(made.now_us, host.machine))
         return seen
 
     def begin(self, count: int, seed: int) -> Fleet:
         made = fleet(count, seed)
         self.told = 0
-        self.standings = {name: QuorumTracker(StandingRules(count)) for name in made.names}
+        self.standings = {name: QuorumTracker(QuorumRules(count)) for name in made.names}
         first = self.follow(made, 5 * SECOND)
         self.assertEqual({seen[0] for seen in first.values()}, {QuorumState.UNSURE})
         self.assertEqual({seen[-1] for seen in first.values()}, {QuorumState.WHOLE})
@@ -368,7 +377,7 @@
             made.crash(name)
         self.follow(made, 10 * SECOND)
         self.assertEqual(self.paid(made), set())
-        self.assertEqual({self.standings[name].now for name in made.names[3:]}, {QuorumState.MINORITY})
+        self.assertEqual({self.standings[name].state for name in made.names[3:]}, {QuorumState.MINORITY})
 
     def test_settings_take_away_and_never_add(self) -> None:
         for allowed, wanted in (
@@ -378,12 +387,12 @@
             ({"there": ("plain",)}, "a standing is"),
         ):
             with self.assertRaisesRegex(MembershipError, wanted):
-                StandingRules(5, allowed=allowed)
-        self.assertRaisesRegex(MembershipError, "brokers", StandingRules, 0)
-        made = QuorumTracker(StandingRules(1, 0, allowed={"whole": ("plain", "paid")}))
+                QuorumRules(5, allowed=allowed)
+        self.assertRaisesRegex(MembershipError, "brokers", QuorumRules, 0)
+        made = QuorumTracker(QuorumRules(1, 0, allowed={"whole": ("plain", "paid")}))
         alone = Members()
         alone.step(0, ProcessStarted({}, 1)), alone.step(0, CommandReceived(Begin("b", "h")))
-        self.assertEqual(made.see(0, alone), QuorumState.WHOLE)
+        self.assertEqual(made.observe(0, alone), QuorumState.WHOLE)
         self.assertEqual([made.may(what) for what in ("plain", "paid", "lead")], [True, True, False])
 
 
@@ -405,10 +414,10 @@
 
     def test_a_life_lasts_before_it_is_claimed(self) -> None:
         made, box = Members(), EffectQueue()
-        box.add(made.step(0, ProcessStarted({LIFE: b"6"}, 1)))
+        box.add(made.step(0, ProcessStarted({INCARNATION_KEY: b"6"}, 1)))
         ready = box.add(made.step(0, CommandReceived(Begin("b", "h", ("s",)))))
         self.assertFalse([each for each in ready if isinstance(each, SendMessage)])
-        self.assertIn(PersistRecord(LIFE, b"7"), ready)
+        self.assertIn(PersistRecord(INCARNATION_KEY, b"7"), ready)
         self.assertEqual(
             box.commit(1)[-1], SendMessage("s", Sync([], answer=True), reliable=True)
         )  # it learns before it claims
@@ -416,10 +425,10 @@
         ready = box.add(made.step(2, MessageReceived("s", Sync([Record("b", 9, 5)]))))
         self.assertEqual(
             [each for each in ready if isinstance(each, (SendMessage, PersistRecord))],
-            [PersistRecord(LIFE, b"10")],
+            [PersistRecord(INCARNATION_KEY, b"10")],
         )
         told = [each.message for each in box.commit(2) if isinstance(each, SendMessage)]
-        self.assertEqual([(each.name, each.life) for each in told[0].records], [("b", 10)])
+        self.assertEqual([(each.name, each.incarnation) for each in told[0].records], [("b", 10)])
 
     def test_what_no_broker_would_send_is_refused_and_counted(self) -> None:
         made = Members()
@@ -433,8 +442,8 @@
             Ack(1, news=[Record("x\n", 1, 1)]),
         ):
             made.step(1, MessageReceived("p", message))
-        self.assertEqual((made.refused, [each.name for each in made.alive()]), ({"p": 5}, ["b"]))
-        self.assertRaises(MembershipError, checked, Record("x", 1, 1, offers=("o",) * 17))
+        self.assertEqual((made.rejected, [each.name for each in made.alive()]), ({"p": 5}, ["b"]))
+        self.assertRaises(MembershipError, validated, Record("x", 1, 1, offers=("o",) * 17))
 
     def test_rules_that_would_bury_the_living_are_refused(self) -> None:
         for changes, wanted in (
@@ -458,7 +467,7 @@
         def merged(each: list[Record]) -> Record:
             stands = each[0]
             for record in each:
-                stands = record if record.beats(stands) else stands
+                stands = record if record.supersedes(stands) else stands
             return stands
 
         mixed = records + records[:2]
@@ -467,8 +476,8 @@
 
     @given(RECORDS, RECORDS)
     def test_one_that_left_stays_gone(self, gone: Record, other: Record) -> None:
-        if gone.state is State.LEFT and other.state is not State.LEFT and other.beats(gone):
-            self.assertGreater((other.life, other.run), (gone.life, gone.run))
+        if gone.state is State.LEFT and other.state is not State.LEFT and other.supersedes(gone):
+            self.assertGreater((other.incarnation, other.process_id), (gone.incarnation, gone.process_id))
 
 
 class AnyOrder(RuleBasedStateMachine):
--- /dev/null
+++ b/tests/test_membership_parts.py
@@ -0,0 +1,209 @@
+"""The parts of membership by themselves: table, rings, failure detector and gossip."""
+
+from __future__ import annotations
+
+import unittest
+
+from lotuspick.membership.failure_detector import FailureDetector
+from lotuspick.membership.gossip import GossipQueue
+from lotuspick.membership.model import Record, Rules, State, Suspicion
+from lotuspick.membership.rings import MonitoringRings
+from lotuspick.membership.table import MembershipTable
+
+MS = 1_000
+RULES = Rules(period_us=300 * MS, silent_us=700 * MS, doubt_us=1_300 * MS, quorum=2)
+
+
+def record(name: str, state: State = State.ALIVE, incarnation: int = 1) -> Record:
+    return Record(name, incarnation, 5, 0, state)
+
+
+class Table(unittest.TestCase):
+    def table(self, *records: Record, max_tombstones: int = 2) -> MembershipTable:
+        table = MembershipTable(max_tombstones, forget_us=100)
+        for now, each in enumerate(records):
+            table.store(now, each, "b0", "told")
+        return table
+
+    def test_alive_members_are_listed_by_name(self) -> None:
+        table = self.table(record("c"), record("a"), record("b", State.DEAD))
+        self.assertEqual([each.name for each in table.alive()], ["a", "c"])
+
+    def test_record_stored_again_keeps_the_latest_provenance(self) -> None:
+        table = self.table(record("a"))
+        table.store(7, record("a", State.LEFT), "b1", "drained")
+        self.assertEqual((table.changed_at_us["a"], table.provenance["a"]), (7, ("b1", "drained")))
+        self.assertEqual((table.provenance["a"].source, table.provenance["a"].reason), ("b1", "drained"))
+
+    def test_digest_depends_on_the_living_alone(self) -> None:
+        one, two = self.table(record("a"), record("b", State.DEAD)), self.table(record("a"))
+        self.assertEqual(one.digest(), two.digest())
+        self.assertNotEqual(one.digest(), self.table(record("a", incarnation=2)).digest())
+
+    def test_tombstones_over_the_limit_go_oldest_first(self) -> None:
+        names = ("d", "c", "b", "a")
+        table = self.table(record("x"), *(record(name, State.DEAD) for name in names))
+        table.forget_tombstones(5)
+        self.assertEqual(set(table.records), {"x", "b", "a"})
+        self.assertEqual(
+            (set(table.changed_at_us), set(table.provenance)), ({"x", "b", "a"}, {"x", "b", "a"})
+        )
+
+    def test_tombstones_past_their_time_go_and_the_living_stay(self) -> None:
+        table = self.table(record("x"), record("a", State.LEFT))
+        table.forget_tombstones(101)
+        self.assertEqual(set(table.records), {"x", "a"})
+        table.forget_tombstones(102)
+        self.assertEqual(set(table.records), {"x"})
+
+
+class Rings(unittest.TestCase):
+    NAMES = tuple(f"b{at}" for at in range(8))
+
+    def rings(self) -> MonitoringRings:
+        rings = MonitoringRings(3)
+        rings.redraw(self.NAMES)
+        return rings
+
+    def test_subjects_and_watchers_agree(self) -> None:
+        rings = self.rings()
+        for name in self.NAMES:
+            subjects = rings.subjects(name, lambda _: True, ())
+            self.assertNotIn(name, subjects)
+            self.assertTrue(1 <= len(subjects) <= 3)
+            self.assertTrue(all(name in rings.watchers(subject) for subject in subjects))
+
+    def test_rings_do_not_depend_on_the_order_of_names(self) -> None:
+        other = MonitoringRings(3)
+        other.redraw(self.NAMES[:4])
+        other.redraw(self.NAMES[::-1])
+        self.assertEqual(
+            [other.watchers(name) for name in self.NAMES],
+            [self.rings().watchers(name) for name in self.NAMES],
+        )
+
+    def test_past_a_suspected_member_the_next_is_watched_too(self) -> None:
+        rings = self.rings()
+        first = rings.subjects("b0", lambda _: True, ())
+        more = rings.subjects("b0", lambda _: True, first)
+        self.assertLess(set(first), set(more))
+
+    def test_dead_members_are_not_watched(self) -> None:
+        rings = self.rings()
+        dead = set(rings.subjects("b0", lambda _: True, ()))
+        self.assertFalse(dead & set(rings.subjects("b0", lambda name: name not in dead, ())))
+
+    def test_member_outside_the_rings_watches_nobody(self) -> None:
+        self.assertEqual(self.rings().subjects("stranger", lambda _: True, ()), {})
+        self.assertEqual(self.rings().watchers("stranger"), set())
+
+
+class Detector(unittest.TestCase):
+    def detector(self) -> FailureDetector:
+        detector = FailureDetector(RULES)
+        detector.watch(0, ["a", "b"])
+        return detector
+
+    def test_member_is_silent_from_the_limit_on(self) -> None:
+        detector = self.detector()
+        detector.sign_of_life(1, "b", "own")
+        self.assertEqual((detector.silent(700 * MS - 1), detector.silent(700 * MS)), ([], ["a"]))
+
+    def test_watching_others_keeps_times_and_drops_own_suspicions(self) -> None:
+        detector = self.detector()
+        detector.suspect(5, "a")
+        detector.suspect(5, "b")
+        detector.watch(9, ["b", "c"])
+        self.assertEqual(detector.last_heard_us, {"b": 0, "c": 9})
+        self.assertEqual(detector.own_suspicions, {"b": 5})
+
+    def test_sign_of_life_withdraws_the_own_suspicion_alone(self) -> None:
+        detector = self.detector()
+        detector.suspect(5, "a")
+        detector.suspect(6, "a")
+        self.assertEqual(
+            [detector.add_suspicion(5, "a", source) for source in ("own", "c", "c")], [True, True, False]
+        )
+        detector.sign_of_life(7, "a", "own")
+        self.assertEqual((detector.suspicions_raised, detector.false_suspicions), (1, 1))
+        self.assertEqual((detector.own_suspicions, set(detector.suspected["a"].by)), ({}, {"c"}))
+
+    def test_suspicions_that_are_not_renewed_expire(self) -> None:
+        detector = self.detector()
+        detector.add_suspicion(0, "a", "c")
+        detector.add_suspicion(1, "a", "d")
+        self.assertTrue(detector.expire_suspicions(1_400 * MS + 1, "a"))
+        self.assertEqual(set(detector.suspected["a"].by), {"d"})
+        self.assertFalse(detector.expire_suspicions(1_400 * MS + 2, "a"))
+        self.assertEqual(detector.suspected, {})
+
+    def test_reports_of_not_hearing_this_broker_expire(self) -> None:
+        detector = self.detector()
+        detector.unheard_by = {"a": 0, "b": 1}
+        detector.expire_unheard_by(1_400 * MS + 1)
+        self.assertEqual(detector.unheard_by, {"b": 1})
+
+    def test_only_the_own_suspicion_makes_a_member_overdue(self) -> None:
+        detector = self.detector()
+        detector.add_suspicion(0, "a", "c")
+        self.assertFalse(detector.is_overdue(9_000 * MS, "a"))
+        detector.suspect(0, "a")
+        self.assertEqual([detector.is_overdue(at, "a") for at in (1_300 * MS - 1, 1_300 * MS)], [False, True])
+
+    def test_quorum_counts_watchers_and_this_broker(self) -> None:
+        detector = self.detector()
+        detector.add_suspicion(0, "a", "own")
+        detector.add_suspicion(0, "a", "stranger")
+        self.assertFalse(detector.has_quorum("a", "own", {"c", "d"}))
+        self.assertTrue(detector.has_quorum("a", "own", {"c"}))  # it has no second watcher
+        detector.add_suspicion(0, "a", "c")
+        self.assertTrue(detector.has_quorum("a", "own", {"c", "d"}))
+
+    def test_after_a_stall_nobody_is_silent_and_nothing_is_suspected_by_this_broker(self) -> None:
+        detector = self.detector()
+        detector.add_suspicion(0, "a", "c")
+        detector.suspect(0, "a")
+        detector.reset_after_stall(5_000 * MS)
+        self.assertEqual((detector.silent(5_000 * MS), detector.own_suspicions), ([], {}))
+        self.assertEqual(detector.suspected["a"].since_us, 5_000 * MS)
+
+    def test_cleared_member_counts_as_falsely_suspected_where_it_lives(self) -> None:
+        for alive, false in ((True, 1), (False, 0)):
+            detector = self.detector()
+            detector.add_suspicion(0, "a", "own")
+            detector.suspect(0, "a")
+            detector.clear("a", alive)
+            self.assertEqual((detector.suspected, detector.own_suspicions), ({}, {}))
+            self.assertEqual(detector.false_suspicions, false)
+
+
+class Gossip(unittest.TestCase):
+    def test_news_about_the_receiver_comes_first(self) -> None:
+        queue = GossipQueue(4, 2)
+        news = [record("a"), record("b"), Suspicion("c", 1, 5, 0, "b"), record("c")]
+        for each in news:
+            queue.add(each)
+        self.assertEqual(queue.take(4, "c", ["b"]), [news[3], news[2]])
+
+    def test_news_sent_least_often_goes_first(self) -> None:
+        queue = GossipQueue(4, 1)
+        for name in ("a", "b", "c"):
+            queue.add(record(name))
+        self.assertEqual([queue.take(4)[0].name for _ in range(4)], ["a", "b", "c", "a"])
+
+    def test_news_is_dropped_after_its_number_of_times(self) -> None:
+        queue = GossipQueue(2, 8)
+        queue.add(record("a"))
+        self.assertEqual([len(queue.take(4)) for _ in range(8)], [1] * 6 + [0, 0])  # twice the bits of 4
+
+    def test_newer_record_replaces_the_one_before_and_starts_anew(self) -> None:
+        queue = GossipQueue(1, 8)
+        queue.add(record("a"))
+        queue.take(2)
+        newer = record("a", incarnation=2)
+        queue.add(newer)
+        self.assertEqual([queue.take(2) for _ in range(3)], [[newer], [newer], []])
+
+
+if __name__ == "__main__":
+    unittest.main()
