--- a/lotuspick/program/configuration/entitlement.py
+++ b/lotuspick/program/configuration/entitlement.py
@@ -32,7 +32,7 @@
 
 
 def _seats(table: dict[str, Any], folder: Path, settings: Settings) -> SeatsConfig:
-    from lotuspick.entitlement.constraints import Rules
+    from lotuspick.entitlement.seat_session import Rules
 
     classes = _classes(table, settings)
     numbers = {
--- a/lotuspick/program/configuration/membership.py
+++ b/lotuspick/program/configuration/membership.py
@@ -48,7 +48,7 @@
 def _peers(table: dict[str, Any], folder: Path) -> PeersConfig:
     from lotuspick.membership.model import MembershipError
     from lotuspick.membership.model import Rules as FailureDetectionRules
-    from lotuspick.membership.quorum import StandingRules
+    from lotuspick.membership.quorum import QuorumRules
 
     listen = read_address(table, "listen")
     _require_private_address(listen[0])
@@ -71,7 +71,7 @@
             seeds=seeds,
             store=folder / read_value(table, "store", str),
             watch=FailureDetectionRules(**watch_us),
-            standing=StandingRules(brokers, settle_us, fresh_us=fresh_us, allowed=allowed),
+            standing=QuorumRules(brokers, settle_us, fresh_us=fresh_us, allowed=allowed),
             control=control,
             offers=offers,
             via=via,
@@ -89,12 +89,12 @@
 
 
 def _check_seeds_and_offers(seeds: tuple[str, ...], offers: tuple[str, ...]) -> None:
-    from lotuspick.membership.model import MOST_OFFERS, MOST_TEXT
+    from lotuspick.membership.model import MAX_OFFERS, MAX_TEXT_LENGTH
 
     for seed in seeds:
         read_address({"seeds": seed}, "seeds")
-    if len(offers) > MOST_OFFERS or any(len(offer) > MOST_TEXT for offer in offers):
-        raise ConfigError(f"offers must be {MOST_OFFERS} at most, of {MOST_TEXT} characters at most")
+    if len(offers) > MAX_OFFERS or any(len(offer) > MAX_TEXT_LENGTH for offer in offers):
+        raise ConfigError(f"offers must be {MAX_OFFERS} at most, of {MAX_TEXT_LENGTH} characters at most")
 
 
 def _via(table: dict[str, Any]) -> dict[str, str]:
--- a/lotuspick/program/configuration/model.py
+++ b/lotuspick/program/configuration/model.py
@@ -13,9 +13,9 @@
 
 if TYPE_CHECKING:
     from lotuspick.cells.model import Plan
-    from lotuspick.entitlement.constraints import Rules as EntitlementRules
+    from lotuspick.entitlement.seat_session import Rules as EntitlementRules
     from lotuspick.membership.model import Rules as FailureDetectionRules
-    from lotuspick.membership.quorum import StandingRules
+    from lotuspick.membership.quorum import QuorumRules
 
 
 class ConfigError(Exception):
@@ -65,7 +65,7 @@
     seeds: tuple[str, ...]
     store: Path
     watch: FailureDetectionRules
-    standing: StandingRules
+    standing: QuorumRules
     control: tuple[str, int] | None = None
     """Where operators' commands are answered; None: nowhere."""
     offers: tuple[str, ...] = ()
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -42,7 +42,7 @@
 from lotuspick.core.events import SessionPlaying, SessionRequest
 from lotuspick.entitlement import ledger as seat_ledger
 from lotuspick.entitlement import model as seat_model
-from lotuspick.entitlement.tokens import Checker, PublicKey, sign
+from lotuspick.entitlement.tokens import PublicKey, TokenVerifier, sign
 from lotuspick.membership import constraints as fleet_guide
 from lotuspick.membership import members as fleet_members
 from lotuspick.membership import model as fleet_model
@@ -169,9 +169,7 @@
     """A broker that starts by a fixed seed; what it wants done is added to ``out``."""
     member = fleet_members.Members()
     out += member.step(1_000_000, ProcessStarted(records, 5))
-    begin = fleet_members.Begin(
-        "broker-x", "10.0.0.9:7400", ("10.0.0.1:7400",), "zone-2", "0.1.0", ("relay",)
-    )
+    begin = fleet_model.Begin("broker-x", "10.0.0.9:7400", ("10.0.0.1:7400",), "zone-2", "0.1.0", ("relay",))
     out += member.step(1_000_000, CommandReceived(begin))
     return member
 
@@ -180,7 +178,7 @@
     """What a broker wants done as it starts, joins, hears of an earlier self, is pinged and is asked for all."""
     out: list[Any] = []
     member = started_member(records, out)
-    earlier = fleet_record("broker-x", life=6)
+    earlier = fleet_record("broker-x", incarnation=6)
     for message in (
         fleet_model.Sync([fleet_record(), earlier]),
         fleet_model.Ping(11, [fleet_model.Record("broker-b", 1, 9, address="10.0.0.2:7400")]),
@@ -196,7 +194,7 @@
     """What a broker that knows one other, and no random number, answers to a digest."""
     member = fleet_members.Members()
     member.step(0, ProcessStarted({}, 5))
-    member.step(0, CommandReceived(fleet_members.Begin("broker-x", "10.0.0.9:7400")))
+    member.step(0, CommandReceived(fleet_model.Begin("broker-x", "10.0.0.9:7400")))
     member.step(0, MessageReceived("10.0.0.1:7400", fleet_model.Sync([fleet_record()])))
     return [
         each
@@ -272,12 +270,12 @@
 
 def fleet_reasons() -> dict[str, str]:
     """The reason with which a paid session is turned away in each standing; it goes out to viewers."""
-    rules = fleet_standing.StandingRules(3)
+    rules = fleet_standing.QuorumRules(3)
     request = SessionRequest(SESSION, "exam", "lesson", 0, 1, 0, 0)
     reasons = {}
     for standing in fleet_standing.QuorumState:
         standings = fleet_standing.QuorumTracker(rules)
-        standings.now = standing
+        standings.state = standing
         guide = fleet_guide.MembershipConstraints(standings, frozenset({"exam"}), lambda: 0)
         reasons[str(int(standing))] = guide.constraint_for(0, request).reason
     return reasons
@@ -442,7 +440,7 @@
 
 def read_token(token: str) -> seat_model.Seat:
     keys = {"k1": PublicKey("k1", signing_key().public_key())}
-    return Checker("golden", keys).check(token, 1_700_000_100)
+    return TokenVerifier("golden", keys).verify(token, 1_700_000_100)
 
 
 def read_cells_file(path: Path) -> Any:
@@ -707,7 +705,7 @@
 class Tokens(Golden):
     def test_claims_of_a_seat_are_the_recorded_ones(self) -> None:
         self.assertEqual(entitled_seat().claims("golden"), golden("token.json")["claims"])
-        self.assertEqual(seat_model.read(golden("token.json")["claims"]), entitled_seat())
+        self.assertEqual(seat_model.parse_claims(golden("token.json")["claims"]), entitled_seat())
 
     def test_token_signed_again_has_the_recorded_bytes(self) -> None:
         self.assertEqual(signed_token(), golden("token.json")["token"])
