--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -266,7 +266,7 @@
             + """
             e0 wait 1.1
             e0 close reset
-            b expect LINE ending=reset
+            b expect LINE reason=reset
             e0 expect OPENED
             v1 expect NOTHING
             v1 send SETUP s2 kind=exam
