--- a/lotuspick/program/components.py
+++ b/lotuspick/program/components.py
@@ -161,7 +161,8 @@
         """Route the servers that speak HTTP to their own connections."""
         if not self.server_ids:
             return edge_servers
-        from lotuspick.transport.http.media_nodes import EdgeServerRouter, MediaNodePool
+        from lotuspick.transport.http.edge_server_router import EdgeServerRouter
+        from lotuspick.transport.http.media_nodes import MediaNodePool
 
         told = self.broker.config
         pool = MediaNodePool(
--- /dev/null
+++ b/lotuspick/transport/http/bounded_site.py
@@ -0,0 +1,84 @@
+"""The HTTP site's limits: connections, sizes of bodies, and data sent behind a request."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from twisted.python.failure import Failure
+from twisted.web import http, server
+from twisted.web.resource import Resource
+
+from lotuspick.protocol.errors import MOST_BYTES
+
+IDLE_S = 60.0  # a connection without a request for so long is closed
+
+
+class BoundedRequest(server.Request):
+    """A request whose body is limited; ``too_long`` says whether it exceeds the limit."""
+
+    def gotLength(self, length: int | None) -> None:
+        """Note the announced length (Twisted's callback)."""
+        self.too_long = length is not None and length > MOST_BYTES
+        self.body_size = 0
+        super().gotLength(0 if self.too_long else length)
+
+    def handleContentChunk(self, data: bytes) -> None:
+        """Take a part of the body; one beyond the limit is dropped, and answered with an error."""
+        self.body_size += len(data)
+        if self.too_long or self.body_size > MOST_BYTES:
+            self.too_long = True
+            return
+        super().handleContentChunk(data)
+
+
+class BoundedChannel(http.HTTPChannel):
+    """One connection, aborted if too much is sent behind a request that has no response yet.
+
+    Twisted stops reading once its buffer is full, and would not notice that the viewer disconnects until the
+    request is answered.
+    """
+
+    _handlingRequest: bool
+    _dataBuffer: list[bytes]
+
+    def dataReceived(self, data: bytes) -> None:
+        """Take data, up to the limit (Twisted's callback)."""
+        super().dataReceived(data)
+        if self._handlingRequest and sum(map(len, self._dataBuffer)) > MOST_BYTES:
+            self.forceAbortClient()
+
+
+class BoundedSite(server.Site):
+    """Refuses connections beyond a limit."""
+
+    noisy = False
+    displayTracebacks = False
+    protocol: Any = BoundedChannel
+
+    def __init__(self, root: Resource, connection_limit: int) -> None:
+        super().__init__(root, timeout=IDLE_S)
+        self.requestFactory = BoundedRequest
+        self.connection_limit, self.channels = connection_limit, set[Any]()
+
+    @property
+    def descriptors(self) -> list[int]:
+        """The sockets of all connections."""
+        return [channel.transport.fileno() for channel in self.channels if channel.transport is not None]
+
+    def log(self, request: object) -> None:
+        """Write no access log: what matters is logged where it happens."""
+
+    def buildProtocol(self, addr: object) -> Any:
+        """A channel for a new connection; None beyond the limit (Twisted's callback)."""
+        if len(self.channels) >= self.connection_limit:
+            return None
+        channel: Any = super().buildProtocol(addr)
+        self.channels.add(channel)
+        connection_lost = channel.connectionLost
+
+        def count_and_lose(reason: Failure) -> None:
+            self.channels.discard(channel)
+            connection_lost(reason)
+
+        channel.connectionLost = count_and_lose
+        return channel
--- /dev/null
+++ b/lotuspick/transport/http/http_player.py
@@ -0,0 +1,92 @@
+"""The viewer of one session that was requested over HTTP."""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING, Any
+
+from twisted.python.failure import Failure
+from twisted.web import http
+
+from lotuspick.routing.messages import ViewerConnectionClosed
+from lotuspick.routing.termination import TerminationReason
+
+if TYPE_CHECKING:
+    from lotuspick.transport.http.http_server import HttpServer
+
+TOKEN_REASON_PREFIX = "token-"  # of rejections for which the same token is never valid
+
+
+class HttpPlayer:
+    """One session's viewer, a :class:`lotuspick.routing.interfaces.ViewerConnection`.
+
+    It outlives the request that set the session up.
+    """
+
+    def __init__(self, server: HttpServer, session: str, request: Any) -> None:
+        self.server, self.session = server, session
+        self.request: Any = request  # the set-up, until it has a response
+        self.is_open, self.last_message_us = True, 0
+        self.end_requests: list[Any] = []  # which wait for the end of the session
+        request.notifyFinish().addErrback(self._disconnected)
+
+    def served(self, session: str, description: bytes) -> None:
+        """Answer that the session plays."""
+        del session
+        self._respond(http.OK, description)
+
+    def rejected(self, session: str, retry_after_ms: int, reason: str = "") -> None:
+        """Answer that the session was rejected; 403 if the same token is never valid, else 503."""
+        del session
+        if reason.startswith(TOKEN_REASON_PREFIX):
+            self._respond(http.FORBIDDEN, reason.encode())
+        else:
+            self._respond(http.SERVICE_UNAVAILABLE, reason.encode(), retry_after_ms)
+        self.server.session_ended(self, TerminationReason.REJECTED_BY_SERVER)
+
+    def failed(self, session: str, reason: str = "") -> None:
+        """Answer that the session failed, without a promise that it had no effect."""
+        del session
+        self._respond(http.INTERNAL_SERVER_ERROR, reason.encode())
+        self.server.session_ended(self, TerminationReason.SERVER_ERROR)
+
+    def released(self, session: str, reason: TerminationReason) -> None:
+        """Notify the viewer that the session is over."""
+        del session
+        self.server.session_ended(self, reason)
+
+    def close_with_error(self, reason: str) -> None:
+        """Do nothing: a session id in use is rejected before it gets to the dispatcher."""
+
+    def _disconnected(self, failure: Failure) -> None:
+        """Cancel the set-up: its connection closed before the response."""
+        del failure
+        if self.request is not None:
+            self.request, self.is_open = None, False
+            self.server.session_ended(self, TerminationReason.CANCELLED_BY_VIEWER)
+            self.server.post(ViewerConnectionClosed(self))
+
+    def _respond(self, status: int, body: bytes = b"", retry_after_ms: int | None = None) -> None:
+        request, self.request = self.request, None
+        if request is None:
+            return
+        if retry_after_ms is not None:
+            request.setHeader("retry-after", str(max(1, math.ceil(retry_after_ms / 1_000))))
+            if retry_after_ms > 0:
+                request.setHeader("p-gap-ms", str(retry_after_ms))
+        respond(request, status, body)
+
+
+def respond(request: Any, status: int, body: bytes = b"") -> None:
+    """Write the complete response, unless the connection is gone or the request has one already."""
+    if request._disconnected or request.finished:
+        return
+    request.setResponseCode(status)
+    request.setHeader("content-type", "application/sdp" if status == http.OK else "text/plain")
+    request.setHeader("cache-control", "no-store")
+    if status == http.NO_CONTENT or request.method == b"HEAD":
+        body = b""
+    else:
+        request.setHeader("content-length", str(len(body)))
+    request.write(body)
+    request.finish()
--- a/lotuspick/transport/http/media_nodes.py
+++ b/lotuspick/transport/http/media_nodes.py
@@ -1,11 +1,11 @@
-"""Media nodes that speak HTTP and answer with CMSD: the second front's side of the loop's ``Edges``.
+"""Media nodes that speak HTTP, as :class:`lotuspick.routing.interfaces.EdgeServers`.
 
     POST /sessions/ID?class=&title=&rung=&wait_ms=   a set-up with its description as body
     PUT /sessions/ID?rung=                            a new rung
-    DELETE /sessions/ID                               a set-up given up, or a session released
-    GET /events?after=N&wait_ms=MS                    waits for what happens to sessions that stand
+    DELETE /sessions/ID                               a set-up cancelled, or a session released
+    GET /events?after=N&wait_ms=MS                    waits for events of sessions that play
 
-Every answer may carry CMSD.
+Every response may carry CMSD.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from lotuspick.protocol import cmsd
 from lotuspick.protocol import media_node_messages as wire
 from lotuspick.protocol.errors import ProtocolError
-from lotuspick.routing.interfaces import AttemptRequest, EdgeServers
+from lotuspick.routing.interfaces import AttemptRequest
 from lotuspick.routing.messages import AttemptTerminated, EdgeServerFailed, HintReceived, InboundMessage
 from lotuspick.routing.termination import TerminationReason
 from lotuspick.transport.http.response_body import read_body
@@ -33,27 +33,29 @@
 
 log = logging.getLogger(__name__)
 
-WAIT_MS = 1_000
-GRACE_S = 0.75
-AGAIN_S = 0.2
-SILENCE_S = 4.0  # without an answer to a poll, while sessions stand there: the node is gone
-MOST_OPEN = 32  # requests open at one node
+WAIT_MS = 1_000  # a node answers a poll for events after so long if there are none
+GRACE_S = 0.75  # a response that is later than this was lost with its connection
+RETRY_S = 0.2  # pause after a failed poll
+SILENCE_S = 4.0  # a node that holds sessions and answers no poll for so long is gone
+ATTEMPT_LIMIT = 32  # open set-ups at one node
+IDLE_CONNECTIONS = 4  # kept open to one node
+HTTP_OK = 200
 
 
 @dataclass(slots=True, eq=False)
 class MediaNode:
-    """One media node."""
+    """One media node; ``last_response_s`` is on the reactor's clock."""
 
     name: str
     address: str
-    index: int = 0
+    event_index: int = 0
     polling: bool = False
-    heard_s: float = 0.0
-    open: dict[str, Deferred[Any]] = field(default_factory=dict)  # set-ups not answered
+    last_response_s: float = 0.0
+    attempts: dict[str, Deferred[Any]] = field(default_factory=dict)  # set-ups without a response
 
 
 class MediaNodePool:
-    """All HTTP nodes, by id."""
+    """All HTTP media nodes, by id."""
 
     def __init__(
         self,
@@ -61,30 +63,79 @@
         addresses: dict[str, str],
         dial_s: float,
         post: Callable[[InboundMessage], None],
-        standing: Callable[[str], int],
+        session_count: Callable[[str], int],
     ) -> None:
-        self.reactor, self.post, self.standing = reactor, post, standing
+        self.reactor, self.post, self.session_count = reactor, post, session_count
         self.nodes = {name: MediaNode(name, address) for name, address in addresses.items()}
         pool = HTTPConnectionPool(reactor)
-        # Guards against a set-up that goes out twice: nothing is sent again below the decisions.
-        pool.retryAutomatically = False
-        pool.maxPersistentPerHost = 4
+        pool.retryAutomatically = False  # only the dispatcher may send a set-up again
+        pool.maxPersistentPerHost = IDLE_CONNECTIONS
         self.agent = Agent(reactor, connectTimeout=dial_s, pool=pool)
 
+    # ---- called by the dispatcher -------------------------------------------------------------------------
+
+    def start_attempt(self, server: str, request: AttemptRequest) -> TerminationReason | None:
+        """Send an attempt; returns the reason where that cannot be done."""
+        node = self.nodes[server]
+        if len(node.attempts) >= ATTEMPT_LIMIT:
+            return TerminationReason.QUEUE_FULL
+        query = {
+            "class": request.session_class,
+            "title": request.title,
+            "rung": request.rung,
+            "wait_ms": request.timeout_ms,
+        }
+        session = request.session
+        response = self._request(node, "POST", f"/sessions/{session}", query, request.description)
+        node.attempts[session] = response
+        response.addCallbacks(self._answered, self._unanswered, (node, session), {}, (node, session))
+        response.addErrback(
+            lambda failure: log.error(
+                "media_node_attempt_error", extra={"server": server, "error": str(failure)}
+            )
+        )
+        return None
+
+    def cancel_attempt(self, server: str, session: str) -> bool:
+        """Cancel an attempt; returns False, since it may have left."""
+        response = self.nodes[server].attempts.pop(session, None)
+        if response is not None:
+            response.cancel()  # closes its connection; the release makes sure that nothing plays on
+            self.release(server, session, TerminationReason.CANCELLED_BY_VIEWER)
+        return False
+
+    def release(self, server: str, session: str, reason: TerminationReason) -> None:
+        """End a session that plays or may play; the node is not given the reason."""
+        del reason
+        self._notify(server, "DELETE", session)
+
+    def set_rung(self, server: str, session: str, rung: int) -> None:
+        """Change the rung of a session that plays."""
+        self._notify(server, "PUT", session, {"rung": rung})
+
+    def keep_connected(self, server: str) -> None:
+        """Poll a node that holds sessions for its events."""
+        node = self.nodes[server]
+        if not node.polling:
+            node.polling, node.last_response_s = True, self.reactor.seconds()
+            self._poll(node)
+
+    # ---- requests -----------------------------------------------------------------------------------------
+
     def _request(
         self, node: MediaNode, method: str, path: str, query: dict[str, Any] | None = None, body: bytes = b""
     ) -> Deferred[Any]:
         url = f"http://{node.address}{path}" + (f"?{urlencode(query)}" if query else "")
         producer: Any = FileBodyProducer(BytesIO(body)) if body else None
-        asked: Deferred[Any] = self.agent.request(method.encode(), url.encode(), bodyProducer=producer)
-        return asked.addCallback(self._heard, node)
+        response: Deferred[Any] = self.agent.request(method.encode(), url.encode(), bodyProducer=producer)
+        return response.addCallback(self._response_received, node)
 
-    def _heard(self, response: Any, node: MediaNode) -> Deferred[tuple[int, bytes]]:
-        node.heard_s = self.reactor.seconds()
-        self._hint(node, response)
+    def _response_received(self, response: Any, node: MediaNode) -> Deferred[tuple[int, bytes]]:
+        node.last_response_s = self.reactor.seconds()
+        self._read_hint(node, response)
         return read_body(response).addCallback(lambda body: (response.code, body))
 
-    def _hint(self, node: MediaNode, response: Any) -> None:
+    def _read_hint(self, node: MediaNode, response: Any) -> None:
         try:
             headers = {
                 name: response.headers.getRawHeaders(name)[0]
@@ -92,131 +143,80 @@
                 if response.headers.hasHeader(name)
             }
             hint = cmsd.hint(node.name, headers)
-        except (ProtocolError, UnicodeError) as fault:
-            log.info("malformed CMSD", extra={"node": node.name, "fault": str(fault)})
+        except (ProtocolError, UnicodeError) as error:
+            log.info("media_node_hint_malformed", extra={"server": node.name, "error": str(error)})
             return
         if hint is not None:
             self.post(HintReceived(hint))
 
-    # ---- the loop's side ----------------------------------------------------------------------------------
-
-    def start_attempt(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
-        node = self.nodes[edge]
-        if len(node.open) >= MOST_OPEN:
-            return TerminationReason.QUEUE_FULL
-        query = {"class": ask.session_class, "title": ask.title, "rung": ask.rung, "wait_ms": ask.timeout_ms}
-        asked = self._request(node, "POST", f"/sessions/{ask.session}", query, ask.description)
-        node.open[ask.session] = asked
-        asked.addCallbacks(self._answered, self._unanswered, (node, ask.session), {}, (node, ask.session))
-        asked.addErrback(lambda reason: log.error("set-up", extra={"node": edge, "fault": str(reason)}))
-        return None
-
-    def _answered(self, answer: tuple[int, bytes], node: MediaNode, session: str) -> None:
-        if node.open.pop(session, None) is not None:
-            self.post(wire.answer(node.name, session, *answer))
+    def _answered(self, response: tuple[int, bytes], node: MediaNode, session: str) -> None:
+        if node.attempts.pop(session, None) is not None:
+            self.post(wire.answer(node.name, session, *response))
             self.keep_connected(node.name)
 
-    def _unanswered(self, reason: Failure, node: MediaNode, session: str) -> None:
-        if node.open.pop(session, None) is None or reason.check(CancelledError):
-            return  # given up here: the loop knows
-        self.post(AttemptTerminated(node.name, session, ending(reason)))
-
-    def cancel_attempt(self, edge: str, session: str) -> bool:
-        asked = self.nodes[edge].open.pop(session, None)
-        if asked is not None:
-            asked.cancel()  # closes its connection, which gives it up; the release makes sure
-            self.release(edge, session, TerminationReason.CANCELLED_BY_VIEWER)
-        return False
-
-    def release(self, edge: str, session: str, ending: TerminationReason) -> None:
-        self._tell(edge, "DELETE", session)
-
-    def set_rung(self, edge: str, session: str, rung: int) -> None:
-        self._tell(edge, "PUT", session, {"rung": rung})
+    def _unanswered(self, failure: Failure, node: MediaNode, session: str) -> None:
+        if node.attempts.pop(session, None) is None or failure.check(CancelledError):
+            return  # cancelled by the dispatcher
+        self.post(AttemptTerminated(node.name, session, failure_reason(failure)))
 
-    def _tell(self, edge: str, method: str, session: str, query: dict[str, Any] | None = None) -> None:
-        told = self._request(self.nodes[edge], method, f"/sessions/{session}", query)
-        told.addTimeout(GRACE_S, self.reactor)
-        told.addErrback(lambda reason: log.info("node not told", extra={"node": edge, "what": method}))
+    def _notify(self, server: str, method: str, session: str, query: dict[str, Any] | None = None) -> None:
+        response = self._request(self.nodes[server], method, f"/sessions/{session}", query)
+        response.addTimeout(GRACE_S, self.reactor)
+        response.addErrback(
+            lambda _: log.info("media_node_not_notified", extra={"server": server, "method": method})
+        )
 
-    def keep_connected(self, edge: str) -> None:
-        node = self.nodes[edge]
-        if not node.polling:
-            node.polling, node.heard_s = True, self.reactor.seconds()
-            self._poll(node)
+    # ---- events -------------------------------------------------------------------------------------------
 
     def _poll(self, node: MediaNode) -> None:
-        """Wait for the node's events while sessions stand there."""
-        if not self.standing(node.name) and not node.open:
+        """Wait for the node's events, as long as it holds sessions or attempts."""
+        if not self.session_count(node.name) and not node.attempts:
             node.polling = False
             return
-        asked = self._request(node, "GET", "/events", {"after": node.index, "wait_ms": WAIT_MS})
-        asked.addTimeout(WAIT_MS / 1_000 + GRACE_S, self.reactor)
-        asked.addCallbacks(self._events, self._no_events, (node,), {}, (node,))
-        asked.addErrback(lambda reason: log.error("poll", extra={"node": node.name, "fault": str(reason)}))
+        response = self._request(node, "GET", "/events", {"after": node.event_index, "wait_ms": WAIT_MS})
+        response.addTimeout(WAIT_MS / 1_000 + GRACE_S, self.reactor)
+        response.addCallbacks(self._events_received, self._poll_failed, (node,), {}, (node,))
+        response.addErrback(
+            lambda failure: log.error(
+                "media_node_poll_error", extra={"server": node.name, "error": str(failure)}
+            )
+        )
 
-    def _events(self, answer: tuple[int, bytes], node: MediaNode) -> None:
+    def _events_received(self, response: tuple[int, bytes], node: MediaNode) -> None:
         pause_s = 0.0
         try:
-            if answer[0] != 200:
-                raise ProtocolError(f"status {answer[0]}")
-            node.index, events = wire.events(node.name, answer[1])
-            for event in events:
-                self.post(event)
-        except ProtocolError as fault:
-            log.info("malformed events", extra={"node": node.name, "fault": str(fault)})
-            pause_s = AGAIN_S
+            self._post_events(response, node)
+        except ProtocolError as error:
+            log.info("media_node_events_malformed", extra={"server": node.name, "error": str(error)})
+            pause_s = RETRY_S
         self.reactor.callLater(pause_s, self._poll, node)
 
-    def _no_events(self, reason: Failure, node: MediaNode) -> None:
-        why = ending(reason)
-        if why is TerminationReason.DIAL_REFUSED or self.reactor.seconds() - node.heard_s > SILENCE_S:
-            self.post(
-                EdgeServerFailed(
-                    node.name,
-                    TerminationReason.SERVER_DOWN
-                    if why is TerminationReason.DIAL_REFUSED
-                    else TerminationReason.SERVER_UNRESPONSIVE,
-                )
-            )
-            node.index, node.heard_s = 0, self.reactor.seconds()
-        self.reactor.callLater(AGAIN_S, self._poll, node)
-
-
-def ending(reason: Failure) -> TerminationReason:
-    """How a request ended that got no answer. Only a connection that never came up proves it never ran."""
-    if reason.check(
+    def _post_events(self, response: tuple[int, bytes], node: MediaNode) -> None:
+        status, body = response
+        if status != HTTP_OK:
+            raise ProtocolError(f"status {status}")
+        node.event_index, events = wire.events(node.name, body)
+        for event in events:
+            self.post(event)
+
+    def _poll_failed(self, failure: Failure, node: MediaNode) -> None:
+        refused = failure_reason(failure) is TerminationReason.DIAL_REFUSED
+        if refused or self.reactor.seconds() - node.last_response_s > SILENCE_S:
+            reason = TerminationReason.SERVER_DOWN if refused else TerminationReason.SERVER_UNRESPONSIVE
+            self.post(EdgeServerFailed(node.name, reason))
+            node.event_index, node.last_response_s = 0, self.reactor.seconds()
+        self.reactor.callLater(RETRY_S, self._poll, node)
+
+
+def failure_reason(failure: Failure) -> TerminationReason:
+    """Why a request got no response; only a connection that was never established proves that nothing ran."""
+    if failure.check(
         error.ConnectError, error.ConnectingCancelledError, error.DNSLookupError, error.TimeoutError
-    ):  # the agent's own time-out is that of the connection
-        return dial_failure_reason(reason)
-    failures: Any = getattr(reason.value, "reasons", ())
-    if any(each.check(error.ConnectionDone) for each in failures):
+    ):  # the agent's own TimeoutError is that of the connection
+        return dial_failure_reason(failure)
+    failures: Any = getattr(failure.value, "reasons", ())
+    if any(cause.check(error.ConnectionDone) for cause in failures):
         return TerminationReason.CLOSED_BY_PEER
-    if reason.check(defer.TimeoutError, defer.CancelledError):
+    if failure.check(defer.TimeoutError, defer.CancelledError):
         return TerminationReason.SERVER_UNRESPONSIVE
     return TerminationReason.RESET
-
-
-class EdgeServerRouter:
-    """Sends each id to the pool that speaks its protocol."""
-
-    def __init__(self, nodes: MediaNodePool, edges: EdgeServers) -> None:
-        self.nodes, self.edges = nodes, edges
-
-    def _pool(self, edge: str) -> EdgeServers:
-        return self.nodes if edge in self.nodes.nodes else self.edges
-
-    def start_attempt(self, edge: str, ask: AttemptRequest) -> TerminationReason | None:
-        return self._pool(edge).start_attempt(edge, ask)
-
-    def cancel_attempt(self, edge: str, session: str) -> bool:
-        return self._pool(edge).cancel_attempt(edge, session)
-
-    def release(self, edge: str, session: str, ending: TerminationReason) -> None:
-        self._pool(edge).release(edge, session, ending)
-
-    def set_rung(self, edge: str, session: str, rung: int) -> None:
-        self._pool(edge).set_rung(edge, session, rung)
-
-    def keep_connected(self, edge: str) -> None:
-        self._pool(edge).keep_connected(edge)
--- a/lotuspick/transport/http/response_body.py
+++ b/lotuspick/transport/http/response_body.py
@@ -1,4 +1,4 @@
-"""Bodies of HTTP answers, read whole and bounded."""
+"""Reads the body of an HTTP response, up to a limit."""
 
 from __future__ import annotations
 
@@ -13,27 +13,28 @@
 from lotuspick.protocol.errors import MOST_ANSWER, ProtocolError
 
 
-class _Body(protocol.Protocol):
-    """Gathers a body, up to the bound."""
+class BodyReader(protocol.Protocol):
+    """Collects a body of at most ``MOST_ANSWER`` bytes."""
 
     transport: Any
 
     def __init__(self) -> None:
-        self.done: Deferred[bytes] = Deferred(lambda _: self._abandon())
+        self.done: Deferred[bytes] = Deferred(lambda _: self._close())
         self.parts = b""
 
     def dataReceived(self, data: bytes) -> None:
+        """Take a part of the body (Twisted's callback)."""
         self.parts += data
         if len(self.parts) > MOST_ANSWER:
             self._finish(Failure(ProtocolError("answer is too long")))
-            self._abandon()
+            self._close()
 
-    def _abandon(self) -> None:
-        """Guards against a reader that never asks again: the agent hands out a proxy of its transport that
-        cannot abort, and an error in here would take the place of the failure that is waited for."""
+    def _close(self) -> None:
+        # The agent's transport is a proxy without abortConnection; an error here would hide the failure.
         self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
+        """Finish with the body, or with the failure (Twisted's callback)."""
         self._finish(self.parts if reason.check(ResponseDone, PotentialDataLoss) else reason)
 
     def _finish(self, result: bytes | Failure) -> None:
@@ -42,7 +43,7 @@
 
 
 def read_body(response: Any) -> Deferred[bytes]:
-    """The whole body of a response of Twisted's agent."""
-    body = _Body()
-    response.deliverBody(body)
-    return body.done
+    """The complete body of a response of Twisted's agent; fails if too long or cut off."""
+    reader = BodyReader()
+    response.deliverBody(reader)
+    return reader.done
