--- a/lotuspick/core/admission.py
+++ b/lotuspick/core/admission.py
@@ -54,21 +54,19 @@
         self.context.start_timer(session.queued_until - self.context.now, name)
 
     def sessions_to_weigh_again(self) -> set[SessionState]:
-        """The most urgent queued sessions; the others that were weighed before wait for a later call."""
-        return set(
-            heapq.nsmallest(tuning.REWEIGH_BATCH_SIZE, self.context.queued.values(), key=self._urgency)
-        )
+        """The most urgent queued sessions; the others that were weighed before wait for a later call.
 
-    def _urgency(self, session: SessionState) -> tuple[bool, bool, int, float]:
-        """Those due first, then near a change, then weighed longest ago, then of the highest class."""
-        context = self.context
-        positions = session.request.holder_positions(context.settings.positions)
-        return (
-            session.queued_until > context.now,
-            context.changed_positions.isdisjoint(positions),
-            session.weighed_at,
-            -self.rungs.steps.bids[session.session_class.name],
-        )
+        Those due come first, then near a change, then weighed longest ago, then of the highest class.
+        """
+        context, bids = self.context, self.rungs.steps.bids
+        now, positions, changed = context.now, context.settings.positions, context.changed_positions
+
+        def urgency(session: SessionState) -> tuple[bool, bool, int, float]:
+            near_change = not changed.isdisjoint(session.request.holder_positions(positions))
+            bid = bids[session.session_class.name]
+            return session.queued_until > now, not near_change, session.weighed_at, -bid
+
+        return set(heapq.nsmallest(tuning.REWEIGH_BATCH_SIZE, context.queued.values(), key=urgency))
 
     def may_be_forwarded(self, session: SessionState) -> bool:
         """Whether deadline, retry budget and the limit of its title leave a session an attempt now."""
--- a/lotuspick/core/placement.py
+++ b/lotuspick/core/placement.py
@@ -57,12 +57,13 @@
 
     def is_usable(self, server: ServerState) -> bool:
         """Whether a server may be given an attempt now."""
+        now = self.context.now
         return (
             server.listed
             and server.entry.state == "active"
-            and self.context.now >= server.ejected_until
+            and now >= server.ejected_until
             and len(server.sessions) + server.other_streams < server.stream_limit
-            and self.slow_start.slow_start_allows(server)
+            and (now >= server.warm_at or self.slow_start.slow_start_allows(server))
         )
 
     def fit(self, session: SessionState, server: ServerState, loads: Loads) -> Fit | None:
--- a/lotuspick/core/rung_control.py
+++ b/lotuspick/core/rung_control.py
@@ -17,14 +17,15 @@
         self.context = context
         self.ladder = context.settings.ladder_kb_per_s
         self.steps = StepValues(context.settings)
+        self.ranks = self.steps.ranks
         self.free_load = tuning.INITIAL_FREE_LOAD
         """Share of a link up to which every step is given."""
         self.calm_us = int(tuning.CALM_INTERVALS * context.notification_interval_us)
 
     def load_limit(self, session_class: ClassSettings, rung: int) -> float:
         """The share of a link up to which a rung is given: the more its step is worth, the higher."""
-        rank = self.steps.ranks[session_class.name][rung]
-        return self.free_load + rank * (tuning.MAX_LINK_LOAD - self.free_load)
+        free_load, rank = self.free_load, self.ranks[session_class.name][rung]
+        return free_load + rank * (tuning.MAX_LINK_LOAD - free_load)
 
     def highest_rung(self, session: SessionState) -> int:
         """The highest rung that a session may have."""
--- a/lotuspick/core/settings.py
+++ b/lotuspick/core/settings.py
@@ -152,11 +152,11 @@
 
         By its weight where weights hold that, else by its kind; an unknown kind counts as the largest.
         """
-        places = self.stream_limit_by_kind.get(entry.kind) or max(self.stream_limit_by_kind.values())
+        stream_limit = self.stream_limit_by_kind.get(entry.kind) or max(self.stream_limit_by_kind.values())
         if self.weight_kind in ("nominal", "rough"):
-            return places, self.link_kb_per_weight * (entry.weight or 1.0)
-        mean = sum(self.stream_limit_by_kind.values()) / len(self.stream_limit_by_kind)
-        return places, self.link_kb_per_weight * places / mean
+            return stream_limit, self.link_kb_per_weight * (entry.weight or 1.0)
+        mean_limit = sum(self.stream_limit_by_kind.values()) / len(self.stream_limit_by_kind)
+        return stream_limit, self.link_kb_per_weight * stream_limit / mean_limit
 
     def __post_init__(self) -> None:
         if not self.zone:
