--- a/lotuspick/cells/directory.py
+++ b/lotuspick/cells/directory.py
@@ -1,8 +1,8 @@
-"""Who belongs where: nodes to cells, tenants and lessons to cells, and what that leaves of a lesson's holders.
+"""Who belongs where: nodes to cells, tenants and lessons to cells, and usable holders of a lesson.
 
-Computed from the plan and the roster alone, so that brokers which share nothing agree. What is not named is
-assigned by weighted rendezvous hashing: each candidate draws a number from the hash of its own name and the key,
-and the highest wins, so that a candidate which joins or goes moves only what it wins or held.
+Computed from the plan and the server list alone, so that brokers which share nothing agree. What is not named
+is assigned by weighted rendezvous hashing: each candidate draws a number from the hash of its own name and
+the key, and the highest wins, so that a candidate which joins or goes moves only what it wins or held.
 """
 
 from __future__ import annotations
@@ -18,126 +18,166 @@
 from lotuspick.cells.model import HASH, Cell, Plan
 from lotuspick.core.events import ServerEntry, ServerListUpdate
 
-KEPT = 8_192  # answers kept of each kind until the roster or the plan changes
-NOBODY = frozenset[str]()
+CACHE_LIMIT = 8_192  # answers kept of each kind until the server list or the plan changes
+NO_SERVERS = frozenset[str]()
+SMALLEST_FRACTION = 1e-18  # keeps the logarithm of a hash that is 0 finite
 
 
-def point(*names: str) -> float:
+def hash_fraction(*names: str) -> float:
     """Where the names fall from 0 up to 1, evenly and alike in every broker."""
     return xxh3_64_intdigest("\0".join(names).encode()) / 2.0**64
 
 
 def rendezvous(weights: Mapping[str, float], *key: str) -> str:
     """The candidate that wins the key, in proportion to the weights."""
-    return max(weights, key=lambda name: (-weights[name] / math.log(max(point(*key, name), 1e-18)), name))
 
+    def score(name: str) -> tuple[float, str]:
+        return -weights[name] / math.log(max(hash_fraction(*key, name), SMALLEST_FRACTION)), name
 
-def draw(names: Collection[str], count: int, *key: str) -> frozenset[str]:
+    return max(weights, key=score)
+
+
+def shuffle_shard(names: Collection[str], count: int, *key: str) -> frozenset[str]:
     """Shuffle sharding: ``count`` of the names, drawn by the key; all where there are no more."""
     if len(names) <= count:
         return frozenset(names)
-    return frozenset(sorted(names, key=lambda name: (point(*key, name), name))[:count])
+    return frozenset(sorted(names, key=lambda name: (hash_fraction(*key, name), name))[:count])
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class AvailableServers:
     """What a cell offers for a lesson: usable nodes only."""
 
     own: frozenset[str]
-    """Holders of the lesson in the cell, or in the tenant's part of it."""
+    """Holders of the lesson in the cell, or in the tenant's shard of it."""
     elsewhere: frozenset[str]
     """All other holders."""
-    short: bool
+    insufficient: bool
     """The cell is too small for the lesson."""
-    spilled: frozenset[str] = NOBODY
+    spilled: frozenset[str] = NO_SERVERS
     """Of those elsewhere, the ones that the cell's spill list brings, in its order, as far as needed."""
 
 
 class CellDirectory:
-    """The map for one plan. ``positions`` is the length of the ring of positions on which titles lie."""
+    """The assignments of one plan. Owns the server list, which changes by :meth:`update_servers` alone.
+
+    Args:
+        plan: of cells; it never changes here.
+        positions: length of the ring of positions on which titles lie.
+        servers: the server list at the start.
+    """
 
-    def __init__(self, plan: Plan, positions: int, roster: Iterable[ServerEntry] = ()) -> None:
+    def __init__(self, plan: Plan, positions: int, servers: Iterable[ServerEntry] = ()) -> None:
         self.plan, self.positions = plan, positions
-        self.entries = {entry.server: entry for entry in roster}
-        self.moves = {
-            tenant: [each for each in plan.moves if each.tenant == tenant]
-            for tenant in {each.tenant for each in plan.moves}
+        self.entries = {entry.server: entry for entry in servers}
+        self.moves_by_tenant = {
+            tenant: [move for move in plan.moves if move.tenant == tenant]
+            for tenant in {move.tenant for move in plan.moves}
         }
-        self._hashed = {cell.name: cell.weight for cell in plan.cells.values()}
-        self._open = {cell.name: cell.weight for cell in plan.cells.values() if cell.selector.empty}
-        self._homes: dict[tuple[str, str], tuple[str, float]] = {}
-        self.weights: dict[str, float] = {}
-        """Of each cell: the weights of the tenants that the file places there and weighs."""
+        self._weights = {cell.name: cell.weight for cell in plan.cells.values()}
+        self._weights_without_selector = {
+            cell.name: cell.weight for cell in plan.cells.values() if cell.selector.empty
+        }
+        self._base_cells: dict[tuple[str, str], tuple[str, float]] = {}
+        self.tenant_weights: dict[str, float] = {}
+        """Of each cell: the sum of the weights of the tenants that the file places there and weighs."""
         for rule in plan.rules:
-            home = rule.cell or (self.base(rule.tenant, "")[0] if rule.tenant in plan.named else "")
-            if rule.weight and home:
-                self.weights[home] = self.weights.get(home, 0.0) + rule.weight
-        self._build()
+            cell = rule.cell or (self.base_cell(rule.tenant, "")[0] if rule.tenant in plan.named else "")
+            if rule.weight and cell:
+                self.tenant_weights[cell] = self.tenant_weights.get(cell, 0.0) + rule.weight
+        self._assign_servers()
 
     # ---- nodes --------------------------------------------------------------------------------------------
 
-    def roster(self, news: ServerListUpdate) -> bool:
-        """Take news of the server list, as the core does. False: nothing here has changed."""
-        if news.failed:
+    def update_servers(self, update: ServerListUpdate) -> bool:
+        """Take an update of the server list, as the core does. False: nothing here has changed."""
+        if update.failed:
             return False
         before = dict(self.entries)
-        for entry in news.servers:
+        for entry in update.servers:
             if entry.state == "gone":
                 self.entries.pop(entry.server, None)
             else:
                 self.entries[entry.server] = entry
-        if news.complete:
-            named = {entry.server for entry in news.servers}
+        if update.complete:
+            named = {entry.server for entry in update.servers}
             self.entries = {name: entry for name, entry in self.entries.items() if name in named}
         if before == self.entries:
             return False
-        self._build()
+        self._assign_servers()
         return True
 
     def cell_of(self, entry: ServerEntry) -> str:
-        """The node's cell: the first of the file that selects it; one that none selects is drawn among the
-        cells without selectors, by weight. Empty: it is in no cell."""
+        """The node's cell: the first of the file that selects it. Empty: it is in no cell.
+
+        One that none selects is drawn among the cells without selectors, by weight.
+        """
         for cell in self.plan.cells.values():
             if cell.selector.picks(entry):
                 return cell.name
-        return rendezvous(self._open, self.plan.salt, "node", entry.server) if self._open else ""
+        weights = self._weights_without_selector
+        return rendezvous(weights, self.plan.salt, "node", entry.server) if weights else ""
 
     def selected_by(self, entry: ServerEntry) -> list[str]:
-        """Every cell whose selector takes the node; more than one is worth a word to the operator."""
+        """Every cell whose selector takes the node; more than one is worth a warning to the operator."""
         return [cell.name for cell in self.plan.cells.values() if cell.selector.picks(entry)]
 
-    def _build(self) -> None:
-        self.cell: dict[str, str] = {name: self.cell_of(entry) for name, entry in self.entries.items()}
-        nodes: dict[str, set[str]] = {name: set() for name in self.plan.cells}
-        self._at: dict[int, list[str]] = {}
-        for name, entry in self.entries.items():
-            if entry.state == "active":
-                nodes.get(self.cell[name], set()).add(name)
-                self._at.setdefault(entry.position % self.positions, []).append(name)
-        self.nodes = {name: frozenset(there) for name, there in nodes.items()}
-        self._rooms: dict[tuple[str, str, int, int], Room] = {}
-
-    def small(self) -> dict[str, int]:
-        """Cells that no lesson of theirs can find large enough, with their usable nodes."""
+    def undersized_cells(self) -> dict[str, int]:
+        """Cells that no lesson of theirs can find large enough, with the number of their usable nodes."""
         return {
-            name: len(self.nodes[name])
+            name: len(self.servers_by_cell[name])
             for name, cell in self.plan.cells.items()
-            if len(self.nodes[name]) < cell.holders
+            if len(self.servers_by_cell[name]) < cell.holders
         }
 
+    def _assign_servers(self) -> None:
+        self.cell_by_server: dict[str, str] = {
+            name: self.cell_of(entry) for name, entry in self.entries.items()
+        }
+        servers: dict[str, set[str]] = {name: set() for name in self.plan.cells}
+        self._servers_by_position: dict[int, list[str]] = {}
+        for name, entry in self.entries.items():
+            if entry.state == "active":
+                servers.get(self.cell_by_server[name], set()).add(name)
+                self._servers_by_position.setdefault(entry.position % self.positions, []).append(name)
+        self.servers_by_cell = {name: frozenset(members) for name, members in servers.items()}
+        self._available: dict[tuple[str, str, int, int], AvailableServers] = {}
+
     # ---- tenants ------------------------------------------------------------------------------------------
 
-    def base(self, tenant: str, title: str) -> tuple[str, float]:
-        """The cell of a tenant's lesson before any move, and the tenant's weight there (0: not told)."""
+    def base_cell(self, tenant: str, title: str) -> tuple[str, float]:
+        """The cell of a tenant's lesson before any move, and the tenant's weight there (0: none is given)."""
         key = (tenant, title)
-        found = self._homes.get(key)
+        found = self._base_cells.get(key)
         if found is None:
-            if len(self._homes) >= KEPT:
-                self._homes.clear()
-            found = self._homes[key] = self._base(tenant, title)
+            if len(self._base_cells) >= CACHE_LIMIT:
+                self._base_cells.clear()
+            found = self._base_cells[key] = self._find_base_cell(tenant, title)
         return found
 
-    def _base(self, tenant: str, title: str) -> tuple[str, float]:
+    def cell_for(self, tenant: str, title: str, viewer: str, returned: bool, now: int) -> str:
+        """The cell of a request at a time (us): the base, then each move of the tenant by epoch."""
+        cell = self.base_cell(tenant, title)[0]
+        for move in self.moves_by_tenant.get(tenant, ()):
+            fraction = hash_fraction(self.plan.salt, "viewer", viewer, str(move.epoch))
+            if migration.is_migrated(move, fraction, returned, now):
+                cell = move.to
+        return cell
+
+    def cells_during_move(self, tenant: str, title: str, now: int) -> tuple[str, ...]:
+        """The cells in which the tenant's sessions count while it moves; none where it does not."""
+        moves = self.moves_by_tenant.get(tenant, ())
+        if not any(migration.stage(move, now) in migration.MOVING for move in moves):
+            return ()
+        cells = [self.base_cell(tenant, title)[0]]
+        for move in moves:
+            if migration.stage(move, now) in migration.MOVING:
+                cells.append(move.to)
+            elif migration.share(move, now) >= 1:
+                cells = [move.to]
+        return tuple(dict.fromkeys(cells))
+
+    def _find_base_cell(self, tenant: str, title: str) -> tuple[str, float]:
         plan, weight = self.plan, 0.0
         for rule in plan.rules:
             if fnmatch.fnmatchcase(tenant, rule.tenant) and fnmatch.fnmatchcase(title, rule.title):
@@ -149,62 +189,44 @@
         if plan.default != HASH:
             return plan.default, weight
         key = ("tenant", tenant) if tenant else ("title", title)
-        return rendezvous(self._hashed, plan.salt, *key), weight
-
-    def home(self, tenant: str, title: str, viewer: str, returned: bool, now: int) -> str:
-        """The cell of a request at ``now``: the base, then each move of the tenant in the order of epochs."""
-        cell = self.base(tenant, title)[0]
-        for move in self.moves.get(tenant, ()):
-            if migration.taken(move, point(self.plan.salt, "viewer", viewer, str(move.epoch)), returned, now):
-                cell = move.to
-        return cell
-
-    def moving(self, tenant: str, title: str, now: int) -> tuple[str, ...]:
-        """The cells in which the tenant's sessions count while it moves; none where it does not."""
-        listed = self.moves.get(tenant, ())
-        if not any(migration.stage(move, now) in migration.MOVING for move in listed):
-            return ()
-        cells = [self.base(tenant, title)[0]]
-        for move in listed:
-            if migration.stage(move, now) in migration.MOVING:
-                cells.append(move.to)
-            elif migration.share(move, now) >= 1:
-                cells = [move.to]
-        return tuple(dict.fromkeys(cells))
+        return rendezvous(self._weights, plan.salt, *key), weight
 
     # ---- holders ------------------------------------------------------------------------------------------
 
-    def holders(self, home: int, copies: int) -> frozenset[str]:
+    def holders(self, home_position: int, copies: int) -> frozenset[str]:
         """Usable nodes on which a title lies."""
         return frozenset(
             name
             for step in range(min(copies, self.positions))
-            for name in self._at.get((home + step) % self.positions, ())
+            for name in self._servers_by_position.get((home_position + step) % self.positions, ())
         )
 
-    def room(self, cell: str, tenant: str, home: int, copies: int) -> Room:
-        """What the cell offers the tenant for a title that lies on ``copies`` positions from ``home`` on."""
-        there = self.plan.cells[cell]
-        key = (cell, tenant if there.shuffle else "", home, copies)
-        room = self._rooms.get(key)
-        if room is None:
-            if len(self._rooms) >= KEPT:
-                self._rooms.clear()
-            room = self._rooms[key] = self._room(there, tenant, home, copies)
-        return room
-
-    def _room(self, cell: Cell, tenant: str, home: int, copies: int) -> Room:
-        everywhere = self.holders(home, copies)
-        own = self.shard(cell, tenant) & everywhere
-        need = min(cell.holders, len(everywhere))
-        spilled: set[str] = set()
-        if len(own) < need:
-            for name in cell.spill:
-                if len(own) + len(spilled) < need:
-                    spilled |= (self.nodes[name] & everywhere) - own
-        return Room(own, everywhere - own, len(own) < need or not everywhere, frozenset(spilled))
+    def available_servers(self, cell: str, tenant: str, home_position: int, copies: int) -> AvailableServers:
+        """What the cell offers the tenant for a title that lies on ``copies`` positions from its home on."""
+        body = self.plan.cells[cell]
+        key = (cell, tenant if body.shuffle else "", home_position, copies)
+        available = self._available.get(key)
+        if available is None:
+            if len(self._available) >= CACHE_LIMIT:
+                self._available.clear()
+            available = self._available[key] = self._find_available(body, tenant, home_position, copies)
+        return available
 
     def shard(self, cell: Cell, tenant: str) -> frozenset[str]:
-        """The nodes of the cell that a tenant may touch."""
-        nodes = self.nodes[cell.name]
-        return draw(nodes, cell.shuffle, self.plan.salt, "shard", tenant) if cell.shuffle else nodes
+        """The nodes of the cell that a tenant may use."""
+        servers = self.servers_by_cell[cell.name]
+        if not cell.shuffle:
+            return servers
+        return shuffle_shard(servers, cell.shuffle, self.plan.salt, "shard", tenant)
+
+    def _find_available(self, cell: Cell, tenant: str, home_position: int, copies: int) -> AvailableServers:
+        holders = self.holders(home_position, copies)
+        own = self.shard(cell, tenant) & holders
+        needed = min(cell.holders, len(holders))
+        spilled: set[str] = set()
+        if len(own) < needed:
+            for name in cell.spill:
+                if len(own) + len(spilled) < needed:
+                    spilled |= (self.servers_by_cell[name] & holders) - own
+        insufficient = len(own) < needed or not holders
+        return AvailableServers(own, holders - own, insufficient, frozenset(spilled))
--- a/lotuspick/cells/exposure.py
+++ b/lotuspick/cells/exposure.py
@@ -1,11 +1,11 @@
-"""How much of the fleet one tenant can touch, and who would share its fate: numbers, not hopes."""
+"""How much of the fleet one tenant can reach, and who would be affected with it, in numbers."""
 
 from __future__ import annotations
 
 import fnmatch
 import statistics
 from collections import Counter
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
 from lotuspick.cells.directory import CellDirectory
@@ -18,66 +18,84 @@
     nodes: int
     """Nodes of the fleet that take sessions."""
     tenants: int
-    most: int
-    """Most nodes that any of the tenants can touch while its cells are large enough."""
+    maximum: int
+    """Most nodes that any of the tenants can reach while its cells are large enough."""
     widest: str
     """That tenant."""
     mean: float
-    mean_at_most: float
+    mean_with_spill: float
     """The same with spilling and widening, where a cell may do so."""
     together: int
-    """Most tenants that share all of their nodes: who else feels it when one of them ruins all it can touch."""
+    """Most tenants that share all of their nodes: who is affected when one of them ruins all it can reach."""
     alone: int
     """Tenants that share all of their nodes with nobody."""
     overlap: float
-    """Mean part of a tenant's nodes that another tenant, drawn at random, can touch as well."""
+    """Mean fraction of a tenant's nodes that another tenant, drawn at random, can reach as well."""
 
 
-def reach(atlas: CellDirectory, tenant: str) -> tuple[frozenset[str], frozenset[str]]:
-    """The nodes that a tenant can touch, and those with spilling and widening; moves that are declared count
-    with both of their cells."""
-    plan = atlas.plan
-    names = {atlas.base(tenant, "")[0], *(move.to for move in atlas.moves.get(tenant, ()))}
-    names |= {
+def reach(directory: CellDirectory, tenant: str) -> tuple[frozenset[str], frozenset[str]]:
+    """The nodes that a tenant can reach, and those with spilling and widening.
+
+    Moves that are declared count with both of their cells.
+    """
+    plan = directory.plan
+    cells = {
+        directory.base_cell(tenant, "")[0],
+        *(move.to for move in directory.moves_by_tenant.get(tenant, ())),
+    }
+    cells |= {
         rule.cell
         for rule in plan.rules
         if rule.cell and fnmatch.fnmatchcase(tenant, rule.tenant) and rule.title != "*"
     }
     own: frozenset[str] = frozenset()
     further: frozenset[str] = frozenset()
-    for name in names:
+    for name in cells:
         cell = plan.cells[name]
-        own |= atlas.shard(cell, tenant)
+        own |= directory.shard(cell, tenant)
         if cell.small == "widen":
-            further |= frozenset(each for each, entry in atlas.entries.items() if entry.state == "active")
+            further |= _active(directory)
         for target in cell.spill:
-            further |= atlas.nodes[target]
+            further |= directory.servers_by_cell[target]
     return own, own | further
 
 
-def exposure(atlas: CellDirectory, tenants: Iterable[str]) -> Exposure:
-    """The figures for some tenants. Raises ``ValueError`` where there are none."""
-    reached = {tenant: reach(atlas, tenant) for tenant in tenants}
+def exposure(directory: CellDirectory, tenants: Iterable[str]) -> Exposure:
+    """The figures for some tenants.
+
+    Raises:
+        ValueError: there are none.
+    """
+    reached = {tenant: reach(directory, tenant) for tenant in tenants}
     if not reached:
         raise ValueError("no tenant is named")
-    sets = Counter(own for own, _ in reached.values())
+    times = Counter(own for own, _ in reached.values())
     widest = max(reached, key=lambda tenant: (len(reached[tenant][0]), tenant))
-    count = len(reached)
-    # Over distinct sets instead of pairs of tenants: there are few where cells are not shuffled.
-    overlap = sum(
-        times * (other_times - (own == other)) * len(own & other) / len(own)
-        for own, times in sets.items()
-        if own
-        for other, other_times in sets.items()
-    )
     return Exposure(
-        nodes=sum(entry.state == "active" for entry in atlas.entries.values()),
-        tenants=count,
-        most=len(reached[widest][0]),
+        nodes=len(_active(directory)),
+        tenants=len(reached),
+        maximum=len(reached[widest][0]),
         widest=widest,
         mean=statistics.fmean(len(own) for own, _ in reached.values()),
-        mean_at_most=statistics.fmean(len(most) for _, most in reached.values()),
-        together=max(sets.values()),
-        alone=sum(times == 1 for times in sets.values()),
-        overlap=overlap / (count * (count - 1)) if count > 1 else 0.0,
+        mean_with_spill=statistics.fmean(len(everything) for _, everything in reached.values()),
+        together=max(times.values()),
+        alone=sum(count == 1 for count in times.values()),
+        overlap=_mean_overlap(times, len(reached)),
+    )
+
+
+def _active(directory: CellDirectory) -> frozenset[str]:
+    return frozenset(name for name, entry in directory.entries.items() if entry.state == "active")
+
+
+def _mean_overlap(times: Mapping[frozenset[str], int], tenants: int) -> float:
+    """Over distinct sets instead of pairs of tenants: there are few where cells are not shuffled."""
+    if tenants <= 1:
+        return 0.0
+    overlap = sum(
+        count * (other_count - (own == other)) * len(own & other) / len(own)
+        for own, count in times.items()
+        if own
+        for other, other_count in times.items()
     )
+    return overlap / (tenants * (tenants - 1))
--- a/lotuspick/entitlement/constraints.py
+++ b/lotuspick/entitlement/constraints.py
@@ -36,9 +36,7 @@
     500_000  # for the disk and for proof, also where set-ups take so long that nothing else would wait
 )
 SWEEP_LIMIT = 2_000  # seats inspected in one sweep; bounds its time
-TERMINATION_REPEAT_US = (
-    10 * SECOND_US
-)  # a lapsed session that is still there is terminated again after so long
+TERMINATION_REPEAT_US = 10 * SECOND_US  # a lapsed session that is still there is ended again then
 INDETERMINATE, STORE = "seat-in-doubt", "seat-store"
 REJECTIONS = {Verdict.IN_USE: "seat-in-use", Verdict.SPENT: "token-spent", Verdict.LAPSED: "token-lapsed"}
 """Reasons of rejections. What starts with ``token-`` no retry with the same token changes."""
--- a/lotuspick/entitlement/ledger.py
+++ b/lotuspick/entitlement/ledger.py
@@ -163,17 +163,7 @@
         last_s = max(ends_s, record.ends_s if record.viewer == viewer else 0)
         if last_s + self.skew_s <= now_s:
             return Reservation(Verdict.LAPSED, None)
-        unresolved = (record.session,) if _is_unresolved(record) else ()
-        reserved = replace(
-            record,
-            state=State.RESERVED,
-            session=session,
-            viewer=viewer,
-            epoch=max(epoch, record.epoch),
-            ends_s=last_s,
-            changes=record.changes + 1,
-            indeterminate=record.indeterminate + unresolved,
-        )
+        reserved = _reserved(record, session, viewer, max(epoch, record.epoch), last_s)
         return Reservation(Verdict.GRANTED, self._store(reserved))
 
     def adopt(
@@ -324,6 +314,20 @@
         return record
 
 
+def _reserved(record: Record, session: str, viewer: str, epoch: int, ends_s: int) -> Record:
+    unresolved = (record.session,) if _is_unresolved(record) else ()
+    return replace(
+        record,
+        state=State.RESERVED,
+        session=session,
+        viewer=viewer,
+        epoch=epoch,
+        ends_s=ends_s,
+        changes=record.changes + 1,
+        indeterminate=record.indeterminate + unresolved,
+    )
+
+
 def _is_unresolved(record: Record) -> bool:
     """Whether an attempt of the seat may yet be the one that counts it."""
     return record.state is State.DOUBT and not record.counted
--- a/lotuspick/lab/emulator/world.py
+++ b/lotuspick/lab/emulator/world.py
@@ -676,7 +676,7 @@
         self.later(METER_US, self.meter)
         self.later(SECOND, self.listen)
         guide = self.brokers[0].guide
-        homes = {tenant: guide.atlas.base(tenant, "")[0] for tenant in self.tenants} if guide else {}
+        homes = {tenant: guide.directory.base_cell(tenant, "")[0] for tenant in self.tenants} if guide else {}
         self.env.run(until=int((spec.day_s + 75) * SECOND))
         return Day(self.books, self.said, homes)
 
--- a/lotuspick/lab/experiment/cost.py
+++ b/lotuspick/lab/experiment/cost.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from lotuspick.cells.constraints import CellConstraints
-from lotuspick.cells.model import parse
+from lotuspick.cells.plan_file import parse
 from lotuspick.core.actions import Action, FailSession, ForwardAttempt, RejectSession, StartTimer
 from lotuspick.core.controller import Controller
 from lotuspick.core.events import (
--- a/lotuspick/lab/experiment/trials.py
+++ b/lotuspick/lab/experiment/trials.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 from typing import Any
 
-from lotuspick.cells.model import Cell, Limits, Move, Parts, Plan, Rule, Selector
+from lotuspick.cells.model import Cell, FairShare, Limits, Move, Plan, Rule, Selector
 from lotuspick.lab.emulator.spec import SECOND, Crowd, Spec, Storm, Trouble
 from lotuspick.lab.emulator.world import METER_US, World
 from lotuspick.lab.experiment.cost import cost
@@ -19,7 +19,7 @@
 from lotuspick.lab.seats.trial import seats
 
 Found = tuple[dict[str, float], dict[str, list[float]]]
-FREE = Limits(floor=1e9, open=1_000_000_000)
+FREE = Limits(retry_floor_per_s=1e9, open_limit=1_000_000_000)
 
 
 def blocks(world: World, budgets: bool = True, epoch: int = 1, moves: tuple[Move, ...] = ()) -> Plan:
@@ -38,7 +38,11 @@
     named = frozenset(world.tenants)
     plan = Plan(cells, epoch, rules=rules, moves=moves, named=named)
     return (
-        plan if budgets else replace(plan, tenant=FREE, parts=Parts(contended_from=1e9, least=1_000_000_000))
+        plan
+        if budgets
+        else replace(
+            plan, tenant=FREE, fair_share=FairShare(contended_from=1e9, minimum_sessions=1_000_000_000)
+        )
     )
 
 
--- a/lotuspick/program/commands/cells.py
+++ b/lotuspick/program/commands/cells.py
@@ -20,7 +20,8 @@
 from lotuspick.cells import migration
 from lotuspick.cells.directory import CellDirectory
 from lotuspick.cells.exposure import exposure, reach
-from lotuspick.cells.model import SECOND, Plan, PlanError, parse
+from lotuspick.cells.model import SECOND, Plan, PlanError
+from lotuspick.cells.plan_file import parse
 from lotuspick.core.events import ServerListUpdate
 from lotuspick.program import configuration
 
@@ -62,7 +63,7 @@
         raise _fail(str(error)) from None
     atlas = CellDirectory(plan, loaded.settings.positions)
     for change in loaded.changes:
-        atlas.roster(ServerListUpdate(change.news.servers, change.news.complete))
+        atlas.update_servers(ServerListUpdate(change.news.servers, change.news.complete))
     return atlas, bool(atlas.entries)
 
 
@@ -103,9 +104,9 @@
         selected = atlas.selected_by(entry)
         if len(selected) > 1:
             typer.echo(f"warning: {name} is selected by {', '.join(selected)}; it is in {selected[0]}")
-        if not atlas.cell[name]:
+        if not atlas.cell_by_server[name]:
             typer.echo(f"warning: {name} is in no cell: only widening reaches it")
-    small = atlas.small()
+    small = atlas.undersized_cells()
     for name, count in small.items():
         cell = plan.cells[name]
         typer.echo(
@@ -114,8 +115,8 @@
         )
     found = exposure(atlas, _names(plan, tenants) or ["unnamed-0"])
     typer.echo(
-        f"one tenant touches at most {found.most} of {found.nodes} nodes ({found.widest}), {found.mean:.1f} on "
-        f"average, {found.mean_at_most:.1f} with spilling and widening"
+        f"one tenant touches at most {found.maximum} of {found.nodes} nodes ({found.widest}), {found.mean:.1f} on "
+        f"average, {found.mean_with_spill:.1f} with spilling and widening"
     )
     typer.echo(
         f"of {found.tenants} tenants {found.alone} share all of their nodes with nobody; at most "
@@ -132,10 +133,10 @@
     atlas, known = _atlas(plan, nodes)
     table = Table("cell", "nodes", "weight", "policy", "named tenants", title=f"epoch {plan.epoch}")
     for name, cell in plan.cells.items():
-        here = [tenant for tenant in sorted(plan.named) if atlas.base(tenant, "")[0] == name]
+        here = [tenant for tenant in sorted(plan.named) if atlas.base_cell(tenant, "")[0] == name]
         table.add_row(
             name,
-            str(len(atlas.nodes[name])) if known else "?",
+            str(len(atlas.servers_by_cell[name])) if known else "?",
             f"{cell.weight:g}",
             f"{cell.small} {','.join(cell.spill)}".strip(),
             ", ".join(here[:6]) + (" ..." if here[6:] else ""),
@@ -148,7 +149,7 @@
             table.add_row(
                 move.tenant,
                 str(move.epoch),
-                atlas.base(move.tenant, "")[0],
+                atlas.base_cell(move.tenant, "")[0],
                 move.to,
                 migration.stage(move, now).value,
                 f"{migration.share(move, now):.0%}",
@@ -170,15 +171,15 @@
     """Say where a tenant's lesson plays, step by step."""
     plan, now = _plan(path), _when(at)
     atlas, known = _atlas(plan, nodes)
-    base, weight = atlas.base(tenant, lesson)
+    base, weight = atlas.base_cell(tenant, lesson)
     typer.echo(f"cell: {base}" + (f", weight {weight:g}" if weight else ""))
-    for move in atlas.moves.get(tenant, ()):
+    for move in atlas.moves_by_tenant.get(tenant, ()):
         typer.echo(
             f"move {move.epoch} to {move.to}: {migration.stage(move, now).value}, "
             f"{migration.share(move, now):.0%} of its viewers"
         )
-    cell = atlas.home(tenant, lesson, viewer, False, now)
-    if atlas.moves.get(tenant):
+    cell = atlas.cell_for(tenant, lesson, viewer, False, now)
+    if atlas.moves_by_tenant.get(tenant):
         typer.echo(f"viewer {viewer!r}: {cell}")
     if not known:
         return
@@ -188,9 +189,9 @@
         f"{len(atlas.entries)} with spilling and widening"
     )
     if copies:
-        room = atlas.room(cell, tenant, home, copies)
+        room = atlas.available_servers(cell, tenant, home, copies)
         typer.echo(f"holders there: {' '.join(sorted(room.own)) or 'none'}")
-        if room.short:
+        if room.insufficient:
             there = plan.cells[cell]
             typer.echo(
                 f"too small for the lesson (wants {there.holders}): {there.small}, elsewhere "
--- a/lotuspick/program/configuration.py
+++ b/lotuspick/program/configuration.py
@@ -263,7 +263,8 @@
     try:
         if not _get(told, "enabled", bool, False):
             return None
-        from lotuspick.cells.model import PlanError, parse
+        from lotuspick.cells.model import PlanError
+        from lotuspick.cells.plan_file import parse
 
         try:
             return parse(told)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -14,12 +14,14 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from lotuspick.cells import migration
-from lotuspick.cells.budgets import Account, Accounts, Fading, Returns
+from lotuspick.cells.budgets import Budget, DecayingCount, TenantBudgets
 from lotuspick.cells.constraints import CellConstraints
-from lotuspick.cells.directory import CellDirectory, draw
+from lotuspick.cells.directory import CellDirectory, shuffle_shard
 from lotuspick.cells.exposure import exposure
 from lotuspick.cells.migration import Stage
-from lotuspick.cells.model import Limits, Move, Plan, PlanError, parse
+from lotuspick.cells.model import Limits, Move, Plan, PlanError
+from lotuspick.cells.plan_file import parse
+from lotuspick.cells.returning_viewers import ReturningViewers
 from lotuspick.core.actions import FailSession, ForwardAttempt, RejectSession
 from lotuspick.core.controller import Controller
 from lotuspick.core.events import (
@@ -125,7 +127,7 @@
     TENANTS = [f"t{at}" for at in range(600)]
 
     def homes(self, atlas: CellDirectory) -> dict[str, str]:
-        return {tenant: atlas.base(tenant, "")[0] for tenant in self.TENANTS}
+        return {tenant: atlas.base_cell(tenant, "")[0] for tenant in self.TENANTS}
 
     def test_a_cell_that_comes_or_goes_moves_only_what_it_wins_or_held(self) -> None:
         three, four = (
@@ -144,9 +146,9 @@
             CellDirectory(plan(cells=cells), 41, [entry(at) for at in nodes])
             for nodes in (there, there | {more})
         )
-        cell = two.cell[f"s{more}"]
-        for name, nodes in one.nodes.items():
-            self.assertEqual(two.nodes[name], nodes | {f"s{more}"} if name == cell else nodes)
+        cell = two.cell_by_server[f"s{more}"]
+        for name, nodes in one.servers_by_cell.items():
+            self.assertEqual(two.servers_by_cell[name], nodes | {f"s{more}"} if name == cell else nodes)
         for tenant in ("x", "y", "z"):
             shard, wider = (each.shard(each.plan.cells[cell], tenant) for each in (one, two))
             self.assertLessEqual(len(shard - wider), 1)
@@ -154,40 +156,42 @@
     @given(st.permutations(range(COUNT)))
     def test_the_order_of_news_does_not_matter(self, order: list[int]) -> None:
         whole, parts = CellDirectory(plan(), COUNT), CellDirectory(plan(), COUNT)
-        whole.roster(roster())
+        whole.update_servers(roster())
         for at in order:
-            parts.roster(ServerListUpdate([entry(at)]))
-        self.assertEqual(whole.nodes, parts.nodes)
-        self.assertEqual(whole.room("a", "t", 2, 4), parts.room("a", "t", 2, 4))
+            parts.update_servers(ServerListUpdate([entry(at)]))
+        self.assertEqual(whole.servers_by_cell, parts.servers_by_cell)
+        self.assertEqual(whole.available_servers("a", "t", 2, 4), parts.available_servers("a", "t", 2, 4))
 
     def test_a_lesson_that_straddles_cells_finds_them_too_small(self) -> None:
         atlas = CellDirectory(
             plan(cells=CELLS + "[cells.d]\nnodes = ['none']\nsmall = 'spill'\nspill = ['b', 'c']"), COUNT
         )
-        atlas.roster(roster())
-        room = atlas.room("a", "t", 2, 4)
-        self.assertEqual((room.own, room.short), ({"s2", "s3"}, True))
-        self.assertFalse(atlas.room("a", "t", 0, 3).short)
-        self.assertEqual(atlas.room("d", "t", 6, 4).spilled, {"s6", "s7", "s8", "s9"})
-        self.assertEqual(atlas.room("d", "t", 4, 4).spilled, {"s4", "s5", "s6", "s7"})  # the first is enough
+        atlas.update_servers(roster())
+        room = atlas.available_servers("a", "t", 2, 4)
+        self.assertEqual((room.own, room.insufficient), ({"s2", "s3"}, True))
+        self.assertFalse(atlas.available_servers("a", "t", 0, 3).insufficient)
+        self.assertEqual(atlas.available_servers("d", "t", 6, 4).spilled, {"s6", "s7", "s8", "s9"})
+        self.assertEqual(
+            atlas.available_servers("d", "t", 4, 4).spilled, {"s4", "s5", "s6", "s7"}
+        )  # the first is enough
 
     def test_exposure_is_counted(self) -> None:
         atlas = CellDirectory(plan(cells="[cells.a]\nshuffle = 2"), COUNT, [entry(at) for at in range(COUNT)])
         found = exposure(atlas, self.TENANTS)
-        self.assertEqual((found.nodes, found.most), (COUNT, 2))
+        self.assertEqual((found.nodes, found.maximum), (COUNT, 2))
         self.assertLess(found.together, 30)  # of 600 over 66 pairs
         self.assertAlmostEqual(found.overlap, 2 / COUNT, delta=0.05)
-        self.assertEqual(draw(["a", "b"], 3, "k"), {"a", "b"})
+        self.assertEqual(shuffle_shard(["a", "b"], 3, "k"), {"a", "b"})
 
     def test_nameless_requests_and_weights(self) -> None:
         atlas = CellDirectory(
             plan("nameless = 'c'\n[[assign]]\ntenant = 'big*'\ntitle = 'alg*'\ncell = 'b'\nweight = 2\n"),
             COUNT,
         )
-        self.assertEqual(atlas.base("", "x")[0], "c")
-        self.assertEqual(atlas.base("big1", "algebra"), ("b", 2.0))
-        self.assertEqual(atlas.weights, {"b": 2.0})
-        titles = {CellDirectory(plan(), COUNT).base("", f"l{at}")[0] for at in range(50)}
+        self.assertEqual(atlas.base_cell("", "x")[0], "c")
+        self.assertEqual(atlas.base_cell("big1", "algebra"), ("b", 2.0))
+        self.assertEqual(atlas.tenant_weights, {"b": 2.0})
+        titles = {CellDirectory(plan(), COUNT).base_cell("", f"l{at}")[0] for at in range(50)}
         self.assertEqual(titles, {"a", "b", "c"})  # nameless and by hash: spread by lesson, not all in one
 
 
@@ -231,7 +235,7 @@
 
     @given(st.floats(0, 1, exclude_max=True), st.lists(st.integers(0, 300), min_size=2))
     def test_no_viewer_goes_to_and_fro(self, point: float, seconds: list[int]) -> None:
-        went = [migration.taken(MOVE, point, False, NOW + at * SECOND) for at in sorted(seconds)]
+        went = [migration.is_migrated(MOVE, point, False, NOW + at * SECOND) for at in sorted(seconds)]
         self.assertEqual(went, sorted(went))
 
     @given(st.integers(-20, 400), st.integers(0, 100), st.integers(0, 60), st.none() | st.integers(0, 300))
@@ -264,62 +268,66 @@
         atlas = CellDirectory(plan(text), COUNT)
 
         def split(second: int) -> set[str]:
-            return {atlas.home("t", "", f"v{at}", False, second * SECOND) for at in range(300)}
+            return {atlas.cell_for("t", "", f"v{at}", False, second * SECOND) for at in range(300)}
 
         self.assertEqual(
             [split(second) for second in (99, 130, 180, 210, 251)],
             [{"a"}, {"a", "b"}, {"a", "b", "c"}, {"b", "c"}, {"b"}],
         )
-        self.assertEqual(set(atlas.moving("t", "", 180 * SECOND)), {"a", "b", "c"})
+        self.assertEqual(set(atlas.cells_during_move("t", "", 180 * SECOND)), {"a", "b", "c"})
 
 
 class Budgets(unittest.TestCase):
     def test_a_quiet_tenant_may_come_again_and_a_storm_may_not(self) -> None:
-        account = Account("t", Limits(ratio=0.5, floor=0.1, window_s=10.0), Fading(600.0))
-        account.firsts.add(NOW)
-        self.assertEqual(account.excess(NOW), 0.0)
+        account = Budget(
+            "t", Limits(retry_ratio=0.5, retry_floor_per_s=0.1, window_s=10.0), DecayingCount(600.0)
+        )
+        account.first_attempts.add(NOW)
+        self.assertEqual(account.retry_excess(NOW), 0.0)
         gaps = []
         for _ in range(20):
-            excess = account.excess(NOW)
+            excess = account.retry_excess(NOW)
             if excess:
-                account.denied.add(NOW)
-                gaps.append(account.gap_us(excess, 0.5))
+                account.rejected.add(NOW)
+                gaps.append(account.retry_after_us(excess, 0.5))
             else:
-                account.extras.add(NOW)
-        self.assertEqual(account.extras.read(NOW), 2)
+                account.retries.add(NOW)
+        self.assertEqual(account.retries.read(NOW), 2)
         self.assertEqual(gaps, sorted(gaps))
         self.assertGreater(gaps[-1], 5 * gaps[0])
         self.assertLessEqual(gaps[-1], 30 * SECOND)
-        self.assertEqual(account.excess(NOW + 100 * SECOND), 0.0)  # the storm is over, and forgotten
+        self.assertEqual(account.retry_excess(NOW + 100 * SECOND), 0.0)  # the storm is over, and forgotten
 
     @given(st.floats(1, 100), st.floats(0, 1, exclude_max=True))
     def test_gaps_are_jittered_within_their_part(self, excess: float, at: float) -> None:
-        account = Account("t", Limits(gap_s=1.0, gap_most_s=10.0, jitter=0.3), Fading(600.0))
+        account = Budget(
+            "t", Limits(retry_after_s=1.0, max_retry_after_s=10.0, jitter=0.3), DecayingCount(600.0)
+        )
         plain = min(10.0, max(1.0, excess)) * SECOND
-        self.assertTrue(0.7 * plain - 1 <= account.gap_us(excess, at) <= 1.3 * plain + 1)
+        self.assertTrue(0.7 * plain - 1 <= account.retry_after_us(excess, at) <= 1.3 * plain + 1)
 
     def test_a_clock_that_steps_back_keeps_counts(self) -> None:
-        count = Fading(10.0)
+        count = DecayingCount(10.0)
         count.add(NOW, 4.0)
         self.assertEqual(count.read(NOW - 30 * SECOND), 4.0)
         self.assertAlmostEqual(count.read(NOW + 10 * SECOND), 4.0 / math.e)
 
     def test_a_million_names_take_no_more_room_than_the_first_thousands(self) -> None:
-        accounts, returns = Accounts(Limits(), 600.0, 256, frozenset({"known"})), Returns(512)
-        accounts.of("known", 0)
+        accounts, returns = TenantBudgets(Limits(), 600.0, 256, frozenset({"known"})), ReturningViewers(512)
+        accounts.budget_of("known", 0)
         for at in range(1_000_000):
             now = at * 100
-            accounts.of(f"made-up-{at}", now)
+            accounts.budget_of(f"made-up-{at}", now)
             if at % 10 == 0:
-                returns.note(f"viewer-{at}", now)
-        self.assertLessEqual(len(accounts.accounts), 256)
-        self.assertLessEqual(len(returns.came), 512)
-        self.assertTrue(returns.known("viewer-999990", now))
-        self.assertFalse(returns.known("viewer-0", now))
-        self.assertEqual(accounts.of("known", now).name, "known")
-        self.assertIs(accounts.of("one-more", now), accounts.others)
-        accounts.of("quiet", now + 60 * SECOND)  # the flood is over
-        self.assertIn("quiet", accounts.accounts)
+                returns.remember(f"viewer-{at}", now)
+        self.assertLessEqual(len(accounts.budgets), 256)
+        self.assertLessEqual(len(returns.recent), 512)
+        self.assertTrue(returns.is_returning("viewer-999990", now))
+        self.assertFalse(returns.is_returning("viewer-0", now))
+        self.assertEqual(accounts.budget_of("known", now).name, "known")
+        self.assertIs(accounts.budget_of("one-more", now), accounts.shared)
+        accounts.budget_of("quiet", now + 60 * SECOND)  # the flood is over
+        self.assertIn("quiet", accounts.budgets)
 
 
 ASSIGNED = '[[assign]]\ntenant = "t"\ncell = "a"\n[[assign]]\ntenant = "u"\ncell = "a"\n'
@@ -392,7 +400,7 @@
         def stand(count: int, tenant: str) -> list[str]:
             reasons = []
             for at in range(count):
-                name = f"{tenant}{len(made.held)}-{at}"
+                name = f"{tenant}{len(made.sessions)}-{at}"
                 reasons.append(self.ask(made, name, tenant=tenant).reason)
                 made.on_event(NOW, ForwardAttempt(name, "s0", SECOND))
                 made.on_event(NOW, SessionStarted(name, 0, "s0"))
@@ -452,7 +460,7 @@
         for second in (100, 112, 120, 130, 180):
             self.ask(made, f"u{second}", second * SECOND, tenant="u", session_class="clip")
             made.on_event(second * SECOND, ViewerDisconnected(f"u{second}"))
-            seen.append(made.held["x"].cells)
+            seen.append(made.sessions["x"].counted_in)
         self.assertEqual(seen, [("a",), ("a",), ("a", "b"), ("a", "b"), ("a",)])
         self.assertEqual(self.ask(made, "y", 181 * SECOND, viewer="x").servers, {"s4", "s5", "s6", "s7"})
         self.assertEqual(
@@ -471,7 +479,7 @@
         for at in range(60):
             now = (100 + 2 * at) * SECOND
             self.assertEqual(self.ask(old, f"q{at}", now).servers, self.ask(new, f"q{at}", now).servers)
-        self.assertEqual(old.stages, new.stages)
+        self.assertEqual(old.moves.stages, new.moves.stages)
 
     def test_plans_are_taken_in_the_order_of_their_epochs(self) -> None:
         made = guide(plan("epoch = 5\n" + ASSIGNED))
@@ -482,10 +490,13 @@
                 made.take(plan(text), NOW)
         made.take(plan("epoch = 6\n", CELLS.replace("cells.a", "cells.z")), NOW)  # its cell is gone
         made.on_event(NOW, SessionStarted("x", 0, "s0"))
-        self.assertEqual(made.held["x"].cells, ("z",))
+        self.assertEqual(made.sessions["x"].counted_in, ("z",))
         made.on_event(NOW, AttemptEnded("x", 0, "s0", "served", final=True))
         self.assertEqual(
-            {name: (state.account.open, state.account.uses) for name, state in made.states.items()},
+            {
+                name: (state.budget.open_setups, state.budget.sessions_by_cell)
+                for name, state in made.statuses.items()
+            },
             {"z": (0, {}), "b": (0, {}), "c": (0, {})},
         )
 
@@ -549,7 +560,7 @@
         self.moving = moving
 
     def some(self, data: st.DataObject, stands: bool | None = None) -> str:
-        names = [name for name, held in self.guide.held.items() if stands in (None, held.stands)]
+        names = [name for name, held in self.guide.sessions.items() if stands in (None, held.playing)]
         return data.draw(st.sampled_from(names)) if names else "nobody"
 
     @rule(
@@ -575,9 +586,11 @@
                 copies=copies,
             ),
         )
-        assert bool(bounds.reason) == (bounds.retry_after_us > 0) == (f"q{self.made}" not in self.guide.held)
+        assert (
+            bool(bounds.reason) == (bounds.retry_after_us > 0) == (f"q{self.made}" not in self.guide.sessions)
+        )
         if not bounds.reason:
-            assert bounds.servers is not None and bounds.servers <= self.guide.atlas.holders(home, copies)
+            assert bounds.servers is not None and bounds.servers <= self.guide.directory.holders(home, copies)
 
     @rule(data=st.data(), server=st.integers(0, 11))
     def send(self, data: st.DataObject, server: int) -> None:
@@ -589,17 +602,17 @@
     )
     def told(self, data: st.DataObject, kind: str) -> None:
         name = self.some(data)
-        node = self.guide.held[name].node if name in self.guide.held else "s0"
+        node = self.guide.sessions[name].server if name in self.guide.sessions else "s0"
         fact = {
             "start": SessionStarted(name, 0, node),
             "refuse": RejectSession(name),
             "fail": FailSession(name),
             "gone": ViewerDisconnected(name),
         }.get(kind, AttemptEnded(name, 0, node, kind, final=kind == "served", load_report={"link": 1.1}))
-        if kind == "again" and name in self.guide.held and not self.guide.held[name].stands:
-            self.guide.constraint_for(self.now, self.guide.held[name].ask)
+        if kind == "again" and name in self.guide.sessions and not self.guide.sessions[name].playing:
+            self.guide.constraint_for(self.now, self.guide.sessions[name].request)
         elif kind != "again" and not (
-            kind in ("refuse", "fail") and name in self.guide.held and self.guide.held[name].stands
+            kind in ("refuse", "fail") and name in self.guide.sessions and self.guide.sessions[name].playing
         ):
             self.guide.on_event(self.now, fact)
 
@@ -642,18 +655,20 @@
 
     @invariant()
     def counts_are_those_of_the_sessions(self) -> None:
-        held = list(self.guide.held.values())
-        for name, state in self.guide.states.items():
-            assert state.account.uses.get(name, 0) == sum(name in each.cells for each in held)
-            assert state.account.open == sum(each.home == name and not each.stands for each in held), name
+        held = list(self.guide.sessions.values())
+        for name, state in self.guide.statuses.items():
+            assert state.budget.sessions_by_cell.get(name, 0) == sum(name in each.counted_in for each in held)
+            assert state.budget.open_setups == sum(each.cell == name and not each.playing for each in held), (
+                name
+            )
         for account in (
-            *self.guide.accounts.accounts.values(),
-            self.guide.accounts.others,
-            *self.guide.accounts.named_accounts.values(),
+            *self.guide.tenants.budgets.values(),
+            self.guide.tenants.shared,
+            *self.guide.tenants.named_budgets.values(),
         ):
-            assert account.open == sum(each.tenant is account and not each.stands for each in held)
-            assert sum(account.uses.values()) == sum(
-                len(each.cells) for each in held if each.tenant is account
+            assert account.open_setups == sum(each.tenant is account and not each.playing for each in held)
+            assert sum(account.sessions_by_cell.values()) == sum(
+                len(each.counted_in) for each in held if each.tenant is account
             )
 
 
--- a/tests/test_cells_live.py
+++ b/tests/test_cells_live.py
@@ -17,7 +17,8 @@
 from test_plugin import CLASSES, Library
 
 from lotuspick.cells.constraints import CellConstraints
-from lotuspick.cells.model import PlanError, parse
+from lotuspick.cells.model import PlanError
+from lotuspick.cells.plan_file import parse
 from lotuspick.core.events import ServerListUpdate
 from lotuspick.plugin import Answer, Plugin, Refused
 
--- /dev/null
+++ b/tests/test_cells_parts.py
@@ -0,0 +1,201 @@
+"""The parts of cells by themselves: TOML values, status of a cell, session counts, returning viewers, moves."""
+
+from __future__ import annotations
+
+import unittest
+from datetime import UTC, datetime
+
+from helpers import SECOND, entry, request
+
+from lotuspick.cells.budgets import Budget, DecayingCount
+from lotuspick.cells.cell_status import CellStatus
+from lotuspick.cells.directory import CellDirectory
+from lotuspick.cells.migration import Stage
+from lotuspick.cells.model import Cell, Limits, Move, Plan, PlanError, Selector
+from lotuspick.cells.move_tracker import MoveTracker
+from lotuspick.cells.returning_viewers import RecentNames, ReturningViewers
+from lotuspick.cells.session_counts import CellSession, SessionCounts
+from lotuspick.cells.toml_values import (
+    check_keys,
+    parse_time,
+    read_integer,
+    read_number,
+    read_texts,
+    read_time,
+)
+from lotuspick.core.operator_events import RateLimitedEvents
+
+NOW = 100 * SECOND
+
+
+class TomlValues(unittest.TestCase):
+    def test_number_out_of_bounds_is_named_with_its_bounds(self) -> None:
+        for value, changes, wanted in (
+            (-1, {}, "a.k must be a number of 0 or more, not -1"),
+            (0, {"exclusive": True}, "a.k must be a number above 0, not 0"),
+            (2, {"maximum": 1.0}, "a.k must be a number of 0 or more and at most 1, not 2"),
+            (1.5, {"integral": True}, "a.k must be a whole number of 0 or more, not 1.5"),
+            (True, {}, "a.k must be a number of 0 or more, not True"),
+            (float("nan"), {}, "a.k must be a number of 0 or more, not nan"),
+            ("x", {"integral": True}, "a.k must be a whole number of 0 or more, not 'x'"),
+        ):
+            with self.subTest(value), self.assertRaises(PlanError) as caught:
+                read_number({"k": value}, "k", "a.k", 1.0, 0.0, **changes)
+            self.assertEqual(str(caught.exception), wanted)
+
+    def test_missing_number_takes_its_default_or_is_named(self) -> None:
+        self.assertEqual(read_number({}, "k", "a.k", 2.5, 0.0), 2.5)
+        self.assertRaisesRegex(PlanError, "^a.k is missing$", read_integer, {}, "k", "a.k", None, 0)
+
+    def test_times_with_offset_and_unix_seconds_are_microseconds(self) -> None:
+        self.assertEqual(parse_time(datetime(1970, 1, 1, 0, 0, 2, tzinfo=UTC), "a"), 2 * SECOND)
+        self.assertEqual(read_time({"k": 1.5}, "k", "a"), 1_500_000)
+        for value in (datetime(1970, 1, 1), True, 0, 1e11, "now"):
+            with (
+                self.subTest(value),
+                self.assertRaisesRegex(PlanError, r"^a\.k must be a time with its offset"),
+            ):
+                read_time({"k": value}, "k", "a")
+
+    def test_unknown_key_and_empty_text_are_named(self) -> None:
+        self.assertRaisesRegex(PlanError, "^b is not a key", check_keys, {"b": 1, "a": 1}, {"a"}, "")
+        self.assertRaisesRegex(PlanError, r"^a\.b is not a key", check_keys, {"b": 1}, {"a"}, "a")
+        self.assertRaisesRegex(
+            PlanError, r"^a\.k\[1\] must be a text", read_texts, {"k": ["x", ""]}, "k", "a"
+        )
+
+
+class Status(unittest.TestCase):
+    def setUp(self) -> None:
+        self.status = CellStatus.new(Cell("a"), 600.0)
+
+    def test_cell_is_contended_while_its_mean_load_is_high(self) -> None:
+        self.status.report_load("s0", 1.25, NOW)
+        self.status.report_load("s1", 0.75, NOW)
+        self.assertTrue(self.status.update_contention(NOW, 0.9))
+        self.assertEqual((self.status.contended, self.status.mean_load()), (True, 1.0))
+        self.assertTrue(self.status.update_contention(NOW + 6 * SECOND, 0.9))  # the reports have expired
+        self.assertEqual((self.status.contended, self.status.mean_load()), (False, 0.0))
+
+    def test_check_is_not_repeated_within_its_interval(self) -> None:
+        self.status.update_contention(NOW, 0.9)
+        self.status.report_load("s0", 2.0, NOW)
+        self.assertFalse(self.status.update_contention(NOW + SECOND // 2 - 1, 0.9))
+        self.assertTrue(self.status.update_contention(NOW + SECOND // 2, 0.9))
+
+    def test_rejections_for_want_of_capacity_make_it_contended(self) -> None:
+        self.status.rejections.add(NOW, 3.0)
+        self.assertTrue(self.status.update_contention(NOW, 0.9))
+
+    def test_impossible_loads_are_ignored(self) -> None:
+        for load in (-0.1, 1e6, float("nan")):
+            self.status.report_load("s0", load, NOW)
+        self.assertEqual(self.status.mean_load(), 0.0)
+
+    def test_another_plan_changes_limits_and_drops_loads(self) -> None:
+        self.status.report_load("s0", 1.0, NOW)
+        self.status.apply_plan(Cell("a", limits=Limits(open_limit=7, window_s=5.0)), 60.0)
+        self.assertEqual((self.status.budget.limits.open_limit, self.status.mean_load()), (7, 0.0))
+        self.assertEqual(self.status.budget.retries.window_us, 5 * SECOND)
+        self.assertEqual(self.status.budget.usual.window_us, 60 * SECOND)
+
+
+class Counts(unittest.TestCase):
+    def setUp(self) -> None:
+        self.cells = {name: Cell(name, Selector(nodes=(f"s{at}",))) for at, name in enumerate("ab")}
+        self.statuses = {name: CellStatus.new(cell, 600.0) for name, cell in self.cells.items()}
+        self.counts = SessionCounts(self.directory(Plan(self.cells)), self.statuses)
+        self.tenant = Budget("t", Limits(), DecayingCount(600.0))
+        self.session = CellSession(request("x", NOW, tenant="t"), self.tenant, "a")
+        self.counts.open(self.session, NOW)
+
+    def directory(self, plan: Plan) -> CellDirectory:
+        return CellDirectory(plan, 2, [entry(0), entry(1)])
+
+    def counted(self) -> tuple[tuple[int, int], tuple[int, int]]:
+        """Of each cell: open set-ups and sessions."""
+        found = [
+            (each.budget.open_setups, each.budget.sessions_by_cell.get(name, 0))
+            for name, each in self.statuses.items()
+        ]
+        return found[0], found[1]
+
+    def test_open_session_counts_for_its_cell_and_tenant(self) -> None:
+        self.assertEqual(self.counted(), ((1, 1), (0, 0)))
+        self.assertEqual((self.tenant.open_setups, self.tenant.sessions_by_cell), (1, {"a": 1}))
+
+    def test_session_counts_where_it_plays(self) -> None:
+        self.session.server = "s1"
+        self.counts.recount(NOW)
+        self.counts.start_playing(self.session)
+        self.assertEqual((self.counted(), self.counts.playing_of("t")), (((0, 0), (0, 1)), 1))
+
+    def test_open_setup_follows_its_session_to_another_cell(self) -> None:
+        self.counts.change_cell(self.session, "b")
+        self.assertEqual((self.counted()[0][0], self.counted()[1][0]), (0, 1))
+
+    def test_removed_session_leaves_nothing(self) -> None:
+        self.counts.remove(self.session)
+        self.assertEqual((self.counted(), self.counts.sessions), (((0, 0), (0, 0)), {}))
+        self.assertEqual((self.tenant.open_setups, self.tenant.sessions_by_cell), (0, {}))
+
+    def test_session_of_a_cell_that_is_gone_belongs_to_one_that_is_left(self) -> None:
+        self.counts.discount_all()
+        del self.cells["a"], self.statuses["a"]
+        self.counts.apply_plan(self.directory(Plan(self.cells, 2)), self.statuses, NOW)
+        self.counts.recount(NOW)
+        self.assertEqual(self.session.cell, "b")
+        budget = self.statuses["b"].budget
+        self.assertEqual((budget.open_setups, budget.sessions_by_cell), (1, {"b": 1}))
+
+
+class Returning(unittest.TestCase):
+    def test_viewer_returns_until_it_is_forgotten_or_time_has_passed(self) -> None:
+        viewers = ReturningViewers(10)
+        viewers.remember("v", NOW)
+        self.assertTrue(viewers.is_returning("v", NOW + 30 * SECOND - 1))
+        self.assertFalse(viewers.is_returning("v", NOW + 30 * SECOND))
+        viewers.forget("v")
+        self.assertFalse(viewers.is_returning("v", NOW))
+
+    def test_grace_is_used_once(self) -> None:
+        viewers = ReturningViewers(10)
+        viewers.grant_grace("v", NOW)
+        self.assertEqual([viewers.use_grace("v", NOW) for _ in range(2)], [True, False])
+
+    def test_viewer_without_a_name_never_returns(self) -> None:
+        viewers = ReturningViewers(10)
+        viewers.remember("", NOW)
+        viewers.grant_grace("", NOW)
+        self.assertFalse(viewers.is_returning("", NOW) or viewers.use_grace("", NOW) or len(viewers.recent))
+
+    def test_older_generation_is_dropped_when_the_younger_is_full(self) -> None:
+        names = RecentNames(4)
+        for name in "abcde":
+            names.add(name, NOW)
+        self.assertEqual([name for name in "abcde" if names.known(name, NOW)], ["c", "d", "e"])
+
+
+class Moves(unittest.TestCase):
+    def test_each_stage_is_recorded_once_and_asks_for_a_recount_where_sessions_count_elsewhere(self) -> None:
+        move = Move("t", "b", 1, NOW, 10 * SECOND, 10 * SECOND, 10 * SECOND)
+        directory = CellDirectory(Plan({"a": Cell("a"), "b": Cell("b")}, moves=(move,)), 1)
+        events = RateLimitedEvents()
+        tracker = MoveTracker(events, lambda tenant: 7)
+        recounts = [tracker.update(NOW + second * SECOND, directory) for second in (-1, 5, 6, 15, 25, 35)]
+        self.assertEqual(recounts, [False, False, False, True, True, True])
+        recorded = events.take_events()
+        stages = ["declared", "prepared", "shifting", "draining", "done"]
+        self.assertEqual([each.fields["stage"] for each in recorded], stages)
+        self.assertEqual({each.fields["stand"] for each in recorded}, {7})
+        self.assertEqual(tracker.stages, {("t", 1): Stage.DONE})
+
+    def test_stage_of_a_move_that_left_the_plan_is_forgotten(self) -> None:
+        cells, tracker = {"b": Cell("b")}, MoveTracker(RateLimitedEvents(), lambda tenant: 0)
+        tracker.update(NOW, CellDirectory(Plan(cells, moves=(Move("t", "b", 1, NOW),)), 1))
+        tracker.update(NOW, CellDirectory(Plan(cells, 2), 1))
+        self.assertEqual(tracker.stages, {})
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -28,7 +28,7 @@
 from typer.testing import CliRunner
 
 from lotuspick import simulator
-from lotuspick.cells import model as cells_model
+from lotuspick.cells import plan_file as cells_plan_file
 from lotuspick.core.actions import (
     Action,
     FailSession,
@@ -445,8 +445,8 @@
 
 def read_cells_file(path: Path) -> Any:
     """The figures of a file of cells, by position: budgets of tenants and cells, and parts."""
-    plan = cells_model.parse(tomllib.loads(path.read_text(encoding="utf-8")))
-    return plain([plan.tenant, [cell.limits for cell in plan.cells.values()], plan.parts])
+    plan = cells_plan_file.parse(tomllib.loads(path.read_text(encoding="utf-8")))
+    return plain([plan.tenant, [cell.limits for cell in plan.cells.values()], plan.fair_share])
 
 
 def read_peers_file(path: Path) -> Any:
