--- a/tests/stepped.py
+++ b/tests/stepped.py
@@ -28,7 +28,7 @@
     hints = False
 
     def setUp(self) -> None:
-        clock = patch.object(sockets, "ANCHOR_NS", sockets.ANCHOR_NS)
+        clock = patch.object(sockets, "MONOTONIC_TO_UNIX_NS", sockets.MONOTONIC_TO_UNIX_NS)
         clock.start()
         self.addCleanup(clock.stop)
         self.reactor = EPollReactor()
@@ -102,7 +102,7 @@
 
     def held_up(self, seconds: float) -> None:
         """So much time passes in which this process looks at nothing."""
-        sockets.ANCHOR_NS += int(seconds * 1e9)
+        sockets.MONOTONIC_TO_UNIX_NS += int(seconds * 1e9)
 
     def timers(self) -> None:
         """Whatever is due runs, before anything is looked at."""
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -21,7 +21,8 @@
 from lotuspick.protocol import rtsp
 from lotuspick.routing.messages import AttemptAnswered, SessionRequested, ViewerConnectionClosed
 from lotuspick.routing.termination import TerminationReason
-from lotuspick.transport.rtsp.rtsp_server import UNREAD_S, RtspConnection, RtspServer
+from lotuspick.transport.rtsp.rtsp_connection import UNREAD_S, RtspConnection
+from lotuspick.transport.rtsp.rtsp_server import RtspServer
 from lotuspick.transport.sockets import readable
 
 OTHER = bytes.fromhex("0000000000000002")
@@ -70,7 +71,7 @@
             + """
             v37 send SETUP s37 kind=exam left=9000
             b send TERM
-            b expect LINE msg=stopping
+            b expect LINE msg=shutdown_started
         """
             + answers
             + """
@@ -154,12 +155,14 @@
                 second.sendall(
                     (SETUP % 2_000).replace(b"exam", kind).replace(b"0000000000000001", OTHER.hex().encode())
                 )
-                self.until(lambda: any(isinstance(each, SessionRequested) for each in self.daemon.loop.inbox))
+                self.until(
+                    lambda: any(isinstance(each, SessionRequested) for each in self.daemon.dispatcher.inbox)
+                )
                 if reset:
                     edge.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 edge.close()
-                self.daemon.loop.tick()  # before the close is read
-                self.assertIn(OTHER.hex(), self.daemon.edges.links["s-e0"].open)
+                self.daemon.dispatcher.tick()  # before the close is read
+                self.assertIn(OTHER.hex(), self.daemon.edge_pool.clients["s-e0"].sent_attempts)
                 again = self.take()  # the session that stands has it dialled anew
                 self.hears(second, answer)
                 again.settimeout(0.0)
@@ -175,17 +178,22 @@
                 edge = self.take()
                 self.hears(edge, ID)
                 edge.sendall(frame(ANSWER))
-                self.until(lambda: any(isinstance(each, AttemptAnswered) for each in self.daemon.loop.inbox))
+                self.until(
+                    lambda: any(isinstance(each, AttemptAnswered) for each in self.daemon.dispatcher.inbox)
+                )
                 if reset:
                     viewer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 viewer.close()
-                self.daemon.loop.tick()  # the answer is written before the close is read
-                self.until(lambda: len(self.daemon.front.viewers) == 1)
-                self.until(lambda: not self.daemon.loop.inbox)
-                self.assertTrue(self.daemon.loop.table[ID.hex()].stands, "a session belongs to no connection")
+                self.daemon.dispatcher.tick()  # the answer is written before the close is read
+                self.until(lambda: len(self.daemon.rtsp_server.connections) == 1)
+                self.until(lambda: not self.daemon.dispatcher.inbox)
+                self.assertTrue(
+                    self.daemon.dispatcher.sessions.entries[ID.hex()].is_playing,
+                    "a session belongs to no connection",
+                )
                 edge.sendall(frame(b"\x0c" + ID + b"\x80\x00\x01\x10"))
                 self.hears(second, b"TEARDOWN")  # its end is told on another
-                self.assertEqual(self.daemon.loop.table, {})
+                self.assertEqual(self.daemon.dispatcher.sessions.entries, {})
 
 
 class Pipe(StringTransport):
@@ -237,7 +245,7 @@
         self.assertTrue(viewer.transport.aborted)
         viewer.connectionLost(Failure(error.ConnectionAborted()))
         self.assertEqual(
-            (self.posted, self.front.viewers, self.front.leaving),
+            (self.posted, self.front.connections, self.front.closing),
             ([ViewerConnectionClosed(viewer)], {}, set()),
         )
 
@@ -249,7 +257,7 @@
             lambda each: each.dataReceived(Malformed.WRONG * 9),
             lambda each: each.dataReceived(b"x\r\n"),
             lambda each: each.drop(TerminationReason.CONNECTION_LIMIT),
-            lambda each: each.say_no_more(),
+            lambda each: each.stop_sending(),
         ):
             viewer = self.come()
             way(viewer)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -30,7 +30,7 @@
                 self.play(
                     f"""
                     v1 send SETUP s1 kind=exam left=9000
-                    b expect LINE why="to
+                    b expect LINE purpose="to
                     {leave}
                     v2 send SETUP s2 kind=exam left=9000
                     v2 send OPTIONS
@@ -106,7 +106,7 @@
                 self.play(
                     f"""
                     p1 send SETUP s1 kind=exam left=9000
-                    b expect LINE why="to
+                    b expect LINE purpose="to
                     {leave}
                     v2 send SETUP s2 kind=exam left=9000
                     v2 send OPTIONS
@@ -230,7 +230,7 @@
             made.step()
             now[0] += 20_000
         calls.cancel.assert_called_once_with("s0", "a")
-        self.assertEqual(made.loop.table, {})
+        self.assertEqual(made.loop.sessions.entries, {})
 
     def test_an_http_node_that_is_still_dialled_is_dialled_no_more(self) -> None:
         reactor, posted = MemoryReactorClock(), list[Any]()
