--- a/lotuspick/program/configuration/subsystems.py
+++ b/lotuspick/program/configuration/subsystems.py
@@ -79,7 +79,8 @@
 
 
 def _plan(table: dict[str, Any]) -> Plan:
-    from lotuspick.cells.model import PlanError, parse
+    from lotuspick.cells.model import PlanError
+    from lotuspick.cells.plan_file import parse
 
     try:
         return parse(table)
