--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -216,7 +216,7 @@
     def test_without_tenants_nobody_is_past_anything(self) -> None:
         made = controller(4)
         self.assertTrue(all(place(made, NOW + each, f"r{each}", tenant="t")[1] > 0 for each in range(4)))
-        self.assertEqual(made.asked, {})
+        self.assertEqual(made.admission.tenants.request_times, {})
 
 
 LAYERS = ["core", "cells", "entitlement", "membership", "routing", "protocol", "transport", "program"]
