--- a/lotuspick/core/controller.py
+++ b/lotuspick/core/controller.py
@@ -35,7 +35,8 @@
         self, settings: Settings, seed: int, constraint_provider: ConstraintProvider | None = None
     ) -> None:
         if isinstance(seed, bool) or not isinstance(seed, int):
-            raise ValueError(f"seed must be a whole number, not {seed!r}")  # noqa: TRY004 - as for all settings
+            # A ValueError, as for all settings.
+            raise ValueError(f"seed must be a whole number, not {seed!r}")  # noqa: TRY004
         self.settings = settings
         self.constraint_provider = constraint_provider or CombinedProviders(())
         self.classes = {session_class.name: session_class for session_class in settings.classes}
