--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -34,9 +34,9 @@
 HERE = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(HERE))
 
+from lotuspick.lab.fleet.rig import SETTINGS, Coordinator, Server  # noqa: E402
 from lotuspick.lab.load.arrivals import Kind, Load, Phase, drawn  # noqa: E402
 from lotuspick.lab.load.sender import Sender, Target  # noqa: E402
-from lotuspick.lab.seats.trial import SETTINGS, Coordinator, Server, free_port  # noqa: E402
 
 BROKERS, NODES, RATE, STARTED_S = 2, 60, 30.0, 30.0
 ASK = (
@@ -46,6 +46,14 @@
 SAMPLE_S = 2.0
 
 
+def free_port() -> int:
+    """A port of the loopback address on which nobody listens now."""
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        port: int = probe.getsockname()[1]
+        return port
+
+
 def private_mib(pid: int) -> float:
     """Memory of a process that no other shares."""
     lines = Path(f"/proc/{pid}/smaps_rollup").read_text(encoding="ascii").splitlines()
