--- a/lotuspick/core/context.py
+++ b/lotuspick/core/context.py
@@ -12,9 +12,9 @@
 from collections.abc import Mapping
 
 from lotuspick.core import tuning
-from lotuspick.core.actions import Action, FailSession, ForwardAttempt, RejectSession, StartTimer
+from lotuspick.core.actions import Action, FailSession, ForwardAttempt, RejectSession, SetRung, StartTimer
 from lotuspick.core.constraints import ConstraintProvider
-from lotuspick.core.events import PlayerHint, ServerEntry, ServerHint
+from lotuspick.core.events import PlayerHint, ServerEntry, ServerHint, SessionNotification
 from lotuspick.core.hint_trust import HintTrust
 from lotuspick.core.length_popularity import LengthPopularity
 from lotuspick.core.load_estimation import NEVER, LinkLoad, LoadAverage, UplinkLoad
@@ -113,6 +113,20 @@
         elif topic == "streams" and is_not_negative(value):
             server.other_streams = max(0.0, value - len(server.sessions))
 
+    def observe_notified_load(
+        self, server: ServerState, session: SessionState | None, event: SessionNotification
+    ) -> bool:
+        """Take the reading in a notification; returns whether it is the first one on the session's link.
+
+        The first one on a session set up here is of now, and counts it already; later ones are late.
+        """
+        first = event.topic == "link" and session is not None and not session.load_reported
+        read_at = self.now - (0 if first else self.settings.notification_delay_us)
+        self.observe_load(server, event.topic, event.value, read_at)
+        if first and session is not None:
+            session.load_reported = True
+        return first
+
     def observe_report(self, server: ServerState, load_report: Mapping[str, float]) -> None:
         """Take the readings that came with the end of an attempt."""
         read_at = self.now - self.settings.notification_delay_us // 2
@@ -206,6 +220,14 @@
                 link.add(self.now, kb_per_s - session.kb_per_s)
         session.kb_per_s, session.pool_draws = kb_per_s, pool_draws
 
+    def change_rung(self, session: SessionState, rung: int) -> None:
+        """Set another rung for a playing session, which draws from the pools in proportion."""
+        kb_per_s = self.settings.ladder_kb_per_s[rung] * session.session_class.bitrate_scale
+        pool_draws = [draw * kb_per_s / session.kb_per_s for draw in session.pool_draws]
+        self.reserve(session, kb_per_s, pool_draws)
+        session.rung = rung
+        self.actions.append(SetRung(session.request.session, rung))
+
     def adopt(self, session: SessionState, rung: int) -> None:
         """Reserve for a session that already plays: its use is part of what servers report."""
         if session.server is None:
--- a/lotuspick/core/controller.py
+++ b/lotuspick/core/controller.py
@@ -16,13 +16,13 @@
 from lotuspick.core.length_popularity import length_pool
 from lotuspick.core.outlier_detection import OutlierDetection
 from lotuspick.core.placement import Placement
-from lotuspick.core.retry import RetryBudget, RetryDecision, attempt_timeout_us, decide_retry
+from lotuspick.core.retry import RetryBudget, attempt_timeout_us, decide_retry
 from lotuspick.core.rung_control import RungControl
 from lotuspick.core.settings import Settings
 from lotuspick.core.setup_time import SetupTime
 from lotuspick.core.slow_start import SlowStart
-from lotuspick.core.state import Fit, Loads, ServerState, SessionPhase, SessionState
-from lotuspick.core.validation import is_not_negative, is_positive
+from lotuspick.core.state import Fit, Loads, RetryDecision, ServerState, SessionPhase, SessionState
+from lotuspick.core.validation import is_not_negative, require_seed
 
 UPKEEP_INTERVAL_US = 10 * tuning.QUEUE_POLL_INTERVAL_US
 QUEUE_POLL_TIMER = 0  # the timers of sessions are counted from 1
@@ -34,9 +34,7 @@
     def __init__(
         self, settings: Settings, seed: int, constraint_provider: ConstraintProvider | None = None
     ) -> None:
-        if isinstance(seed, bool) or not isinstance(seed, int):
-            # A ValueError, as for all settings.
-            raise ValueError(f"seed must be a whole number, not {seed!r}")  # noqa: TRY004
+        require_seed(seed)
         self.settings = settings
         self.constraint_provider = constraint_provider or CombinedProviders(())
         self.classes = {session_class.name: session_class for session_class in settings.classes}
@@ -135,12 +133,7 @@
             context.adopt(session, min(int(event.value), len(settings.ladder_kb_per_s) - 1))
         elif event.topic == "share" and context.observe_share(server, event.value):
             self.rungs.lower_rungs(server, event.value)
-        # The first one on a session set up here is of now, and counts it already; later ones are late.
-        first = event.topic == "link" and session is not None and not session.load_reported
-        read_at = context.now - (0 if first else settings.notification_delay_us)
-        context.observe_load(server, event.topic, event.value, read_at)
-        if first and session is not None:
-            session.load_reported = True
+        if context.observe_notified_load(server, session, event) and session is not None:
             self.rungs.adjust_after_start(session, server)
         elif event.topic == "link":
             self.rungs.raise_rungs(server)
@@ -159,9 +152,8 @@
             return
         now, session_class = self.context.now, self.classes[request.session_class]
         session = SessionState(request, session_class, length_pool(request.length_us))
-        if is_positive(request.length_us):
-            self.context.popularity.add(request.length_us, session.pool, now)
-        self.retry_budget.record_request(now)
+        self.context.popularity.add(request.length_us, session.pool, now)
+        self.retry_budget.requests.record(now)
         session.over_tenant_rate = self.admission.exceeds_tenant_rate(request)
         self.sessions[request.session] = session
         self.admission.admit(session)
@@ -212,7 +204,7 @@
     def _forward(self, session: SessionState, server: ServerState, fit: Fit) -> None:
         context, request = self.context, session.request
         if session.attempt >= 0:
-            self.retry_budget.retries.append(context.now)
+            self.retry_budget.retries.record(context.now)
         context.begin_attempt(session, server, fit)
         # A rung chosen for a server without a recent reading is a guess, adjusted by later notifications.
         recently_read = context.now - server.link.observed_at < context.link_loads.keep_us
--- a/lotuspick/core/length_popularity.py
+++ b/lotuspick/core/length_popularity.py
@@ -18,8 +18,10 @@
         self.hint_count = [0] * tuning.POOL_COUNT
         self.hint_us = [0.0] * tuning.POOL_COUNT
 
-    def add(self, length_us: float, pool: int, now: int) -> None:
-        """Count the hint of a request that came at clock time ``now`` (us)."""
+    def add(self, length_us: float | None, pool: int, now: int) -> None:
+        """Count the hint of a request that came at clock time ``now`` (us), unless it has no valid one."""
+        if not is_positive(length_us):
+            return
         self.window.append((now, pool, length_us))
         self.hint_count[pool] += 1
         self.hint_us[pool] += length_us
--- a/lotuspick/core/placement.py
+++ b/lotuspick/core/placement.py
@@ -11,7 +11,6 @@
 
 from lotuspick.core import tuning
 from lotuspick.core.context import BrokerContext
-from lotuspick.core.length_pools import draw_shares, free_shares
 from lotuspick.core.rung_control import RungControl
 from lotuspick.core.slow_start import SlowStart
 from lotuspick.core.state import Fit, Loads, ServerState, SessionState
@@ -99,3 +98,20 @@
                 draws = draw_shares(share, free, session.pool)
                 return Fit(rung, [draw * link.kb_per_s for draw in draws], new_load)
         return None
+
+
+def free_shares(server: ServerState, load: float, pool_sizes: list[float]) -> list[float]:
+    """What each pool has left of its share of the link; other brokers' use is spread over all pools."""
+    link = server.link
+    others = max(0.0, load - link.own_kb_per_s / link.kb_per_s) / tuning.POOL_COUNT
+    return [max(0.0, size - own / link.kb_per_s - others) for size, own in zip(pool_sizes, server.pools)]
+
+
+def draw_shares(share: float, free: list[float], pool: int) -> list[float]:
+    """Draw a share of the link from a pool and then from those below it."""
+    draws, needed = [0.0] * tuning.POOL_COUNT, share
+    for index in range(pool, -1, -1):
+        draws[index] = min(needed, free[index])
+        needed -= draws[index]
+    draws[pool] += needed  # Only where the load is so low that pools do not bind.
+    return draws
--- a/lotuspick/core/retry.py
+++ b/lotuspick/core/retry.py
@@ -2,23 +2,12 @@
 
 from __future__ import annotations
 
-from collections import deque
-from enum import Enum
-
 from lotuspick.core import tuning
 from lotuspick.core.events import PROVES_NOT_EXECUTED
 from lotuspick.core.settings import RetrySafety, Settings
 from lotuspick.core.setup_time import SetupTime
-from lotuspick.core.sliding_window import count_recent
-from lotuspick.core.state import SessionState
-
-
-class RetryDecision(Enum):
-    """What becomes of a session whose attempt ended before it played."""
-
-    RETRY = "retry"
-    REJECT = "reject"
-    FAIL = "fail"
+from lotuspick.core.sliding_window import RecentEvents
+from lotuspick.core.state import RetryDecision, SessionState
 
 
 class RetryBudget:
@@ -26,19 +15,13 @@
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.requests = deque[int]()
-        self.retries = deque[int]()
-
-    def record_request(self, now: int) -> None:
-        """Count a request at clock time ``now`` (us)."""
-        self.requests.append(now)
-        count_recent(self.requests, now, self.settings.retry_budget_window_us)
+        self.requests = RecentEvents(settings.retry_budget_window_us)
+        self.retries = RecentEvents(settings.retry_budget_window_us)
 
     def allows_retry(self, now: int) -> bool:
         """Whether one more retry stays within the budget."""
         settings = self.settings
-        requests = count_recent(self.requests, now, settings.retry_budget_window_us)
-        retries = count_recent(self.retries, now, settings.retry_budget_window_us)
+        requests, retries = self.requests.count(now), self.retries.count(now)
         if settings.retry_budget_floor is None or settings.retry_budget_ratio is None:
             return True
         return retries + 1 <= settings.retry_budget_floor + settings.retry_budget_ratio * requests
--- a/lotuspick/core/rung_control.py
+++ b/lotuspick/core/rung_control.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
+import math
+
 from lotuspick.core import tuning
-from lotuspick.core.actions import SetRung
 from lotuspick.core.context import BrokerContext
-from lotuspick.core.settings import ClassSettings
+from lotuspick.core.settings import ClassSettings, Settings
 from lotuspick.core.state import ServerState, SessionPhase, SessionState
 from lotuspick.core.step_values import StepValues
 
@@ -17,7 +18,8 @@
         self.context = context
         self.ladder = context.settings.ladder_kb_per_s
         self.steps = StepValues(context.settings)
-        self.ranks = self.steps.ranks
+        self.ranks = rank_steps(context.settings, self.steps)
+        """For each class and rung the rank of its step among all, from 0 (least) to 1 (most)."""
         self.free_load = tuning.INITIAL_FREE_LOAD
         """Share of a link up to which every step is given."""
         self.calm_us = int(tuning.CALM_INTERVALS * context.notification_interval_us)
@@ -69,7 +71,7 @@
             if excess_kb_per_s < step_kb_per_s * context.random.random():
                 break  # Part of a step is taken by that chance: many brokers may have one session each.
             excess_kb_per_s -= step_kb_per_s
-            self._change_rung(session, session.rung - 1)
+            self.context.change_rung(session, session.rung - 1)
 
     def adjust_after_start(self, session: SessionState, server: ServerState) -> None:
         """Lower a session just set up to what fits, if the link is fuller than known, or raise it."""
@@ -81,7 +83,7 @@
             excess_kb_per_s -= (self.ladder[rung] - self.ladder[rung - 1]) * session_class.bitrate_scale
             rung -= 1
         if rung < session.rung:
-            self._change_rung(session, rung)
+            self.context.change_rung(session, rung)
         self.raise_rungs(server, session)
 
     def raise_rungs(self, server: ServerState, started: SessionState | None = None) -> None:
@@ -101,7 +103,7 @@
             step = self.ladder[rung] * session.session_class.bitrate_scale - session.kb_per_s
             room = (self.load_limit(session.session_class, rung) - load) * link.kb_per_s
             if room * part > step * context.random.random():
-                self._change_rung(session, rung)
+                self.context.change_rung(session, rung)
                 load += step / link.kb_per_s
 
     def _raise_pays(self, session: SessionState) -> bool:
@@ -113,10 +115,22 @@
         cost = tuning.MIN_RAISE_GAIN * settings.rung_change_cost_s * 1e6
         return gain * (session.ends_at - self.context.now) > cost
 
-    def _change_rung(self, session: SessionState, rung: int) -> None:
-        """Change the rung of a playing session, its draws in proportion."""
-        kb_per_s = self.ladder[rung] * session.session_class.bitrate_scale
-        pool_draws = [draw * kb_per_s / session.kb_per_s for draw in session.pool_draws]
-        self.context.reserve(session, kb_per_s, pool_draws)
-        session.rung = rung
-        self.context.actions.append(SetRung(session.request.session, rung))
+
+def rank_steps(settings: Settings, steps: StepValues) -> dict[str, list[float]]:
+    """Rank the steps of each class by the logarithm of their value; a class's lowest rung ranks first."""
+    top, classes = len(settings.ladder_kb_per_s) - 1, settings.classes
+    values = [
+        steps.value(session_class, rung)
+        for session_class in classes
+        for rung in range(session_class.lowest_rung, min(session_class.highest_rung, top) + 1)
+    ]
+    maximum = max(values)
+    minimum = max(min(values), 1e-9 * maximum) or 1.0
+    spread = math.log(max(maximum, minimum) / minimum) or 1.0
+
+    def rank(session_class: ClassSettings, rung: int) -> float:
+        if rung <= session_class.lowest_rung:
+            return 1.0
+        return min(1.0, math.log(max(minimum, steps.value(session_class, rung)) / minimum) / spread)
+
+    return {one.name: [rank(one, rung) for rung in range(top + 1)] for one in classes}
--- a/lotuspick/core/setup_time.py
+++ b/lotuspick/core/setup_time.py
@@ -2,10 +2,7 @@
 
 from __future__ import annotations
 
-from lotuspick.core.tuning import INITIAL_SETUP_TIME_US
-
-MEAN_WEIGHT = 1 / 8  # of a new measurement in the mean, as in TCP's estimate of the round-trip time
-DEVIATION_WEIGHT = 1 / 4  # of a new measurement in the deviation, likewise
+from lotuspick.core import tuning
 
 
 class SetupTime:
@@ -14,15 +11,15 @@
     __slots__ = ("deviation_us", "mean_us")
 
     def __init__(self) -> None:
-        self.mean_us = float(INITIAL_SETUP_TIME_US)
-        self.deviation_us = INITIAL_SETUP_TIME_US / 2
+        self.mean_us = float(tuning.INITIAL_SETUP_TIME_US)
+        self.deviation_us = tuning.INITIAL_SETUP_TIME_US / 2
 
     def observe(self, duration_us: int) -> None:
         """Take the duration of a set-up that succeeded."""
         error = duration_us - self.mean_us
-        self.mean_us += error * MEAN_WEIGHT
-        self.deviation_us += (abs(error) - self.deviation_us) * DEVIATION_WEIGHT
+        self.mean_us += error * tuning.SETUP_TIME_MEAN_WEIGHT
+        self.deviation_us += (abs(error) - self.deviation_us) * tuning.SETUP_TIME_DEVIATION_WEIGHT
 
     def timeout_us(self) -> int:
-        """A time in which a normal set-up is done: the mean and four deviations."""
-        return int(self.mean_us + 4 * self.deviation_us)
+        """A time in which a normal set-up is done: the mean and some deviations."""
+        return int(self.mean_us + tuning.SETUP_TIMEOUT_DEVIATIONS * self.deviation_us)
--- a/lotuspick/core/state.py
+++ b/lotuspick/core/state.py
@@ -49,6 +49,14 @@
     PLAYING = "playing"
 
 
+class RetryDecision(Enum):
+    """What becomes of a session whose attempt ended before it played."""
+
+    RETRY = "retry"
+    REJECT = "reject"
+    FAIL = "fail"
+
+
 @dataclass(slots=True, eq=False)
 class ServerState:
     """What this broker knows of one server."""
--- a/lotuspick/core/tuning.py
+++ b/lotuspick/core/tuning.py
@@ -32,21 +32,20 @@
 STALE_INTERVALS = 1.5  # notification intervals after which they count as missing, and a reading fades
 UPLINK_SIZE_LEARNING_RATE = 0.5  # weight of a new reading of an uplink's size
 UPLINK_SIZE_GROWTH_PER_S = 0.02  # share a second by which it grows back while busy, not short: a slow probe
-UPLINK_GROWTH_DELAY_US = (
-    3_000_000  # us: without shortfall before it grows: longer than notifications are late
-)
+UPLINK_GROWTH_DELAY_US = 3_000_000  # us: without shortfall before it grows: notifications are late
 DEFAULT_NOTIFICATION_INTERVAL_US = 3_300_000  # us: between load notifications where none is configured
 READING_FADE_US = 10_000_000  # us: a stale reading fades to the average so fast: sessions turn over in it
 MIN_AVERAGED_LOAD = 0.05  # share of a link: least load in the average, so an idle one does not outweigh all
-UNKNOWN_LINK_LOAD = (
-    0.6  # share of a link assumed where nothing, or full links alone, is known: busy, not full
-)
+UNKNOWN_LINK_LOAD = 0.6  # share of a link assumed where nothing, or full links alone, is known: busy
 
 BASE_EJECTION_US = 1_000_000  # us: first ejection; doubled for each further one
 MAX_EJECTION_US = 8_000_000  # us: longest ejection: a machine's way back
 CONSECUTIVE_FAILURES_LIMIT = 3  # before a live server is ejected: bad requests fail singly, anywhere
 FULL_SERVER_BACKOFF_US = 500_000  # us: pause of a server that answers full, and further wait of its session
 INITIAL_SETUP_TIME_US = 100_000  # us: time of a set-up before any is measured
+SETUP_TIME_MEAN_WEIGHT = 1 / 8  # of a new measurement in the mean, as TCP does for round trips (RFC 6298)
+SETUP_TIME_DEVIATION_WEIGHT = 1 / 4  # of a new measurement in the mean deviation, likewise
+SETUP_TIMEOUT_DEVIATIONS = 4  # added to the mean in a time-out, likewise
 MIN_ATTEMPT_TIMEOUT_US = 300_000  # us: shortest attempt time-out, over the slowest normal set-up
 START_NEWS_DELAY_US = 5_000_000  # us: a starting broker hears so soon of servers that started shortly before
 SLOW_START_BUDGET_SHARE = 0.6  # share of the slow-start budget that is used: leaves slack for chance
--- a/lotuspick/core/validation.py
+++ b/lotuspick/core/validation.py
@@ -24,6 +24,12 @@
             raise ValueError(f"{owner}.{name} must be a number of 0 or more, not {value!r}")
 
 
+def require_seed(seed: int) -> None:
+    """Raise ``ValueError``, as for all settings, unless a seed of random numbers is a whole number."""
+    if isinstance(seed, bool) or not isinstance(seed, int):
+        raise ValueError(f"seed must be a whole number, not {seed!r}")  # noqa: TRY004
+
+
 def is_not_negative(value: float | None) -> TypeGuard[float]:
     """Whether a reading is a finite number of 0 or more."""
     return isinstance(value, (int, float)) and 0 <= value < math.inf
--- a/tests/test_core_placement.py
+++ b/tests/test_core_placement.py
@@ -7,7 +7,7 @@
 from helpers import NOW, controller, entry, request, servers
 
 from lotuspick.core.constraints import PlacementConstraint
-from lotuspick.core.length_pools import draw_shares, free_shares
+from lotuspick.core.placement import draw_shares, free_shares
 from lotuspick.core.state import Loads, SessionState
 
 LOADS = Loads([0.2, 0.3, 0.5], 0.1, 0.1)
--- a/tests/test_core_retry.py
+++ b/tests/test_core_retry.py
@@ -7,10 +7,10 @@
 from helpers import NOW, SECOND, request, settings
 
 from lotuspick.core import tuning
-from lotuspick.core.retry import RetryBudget, RetryDecision, attempt_timeout_us, decide_retry
+from lotuspick.core.retry import RetryBudget, attempt_timeout_us, decide_retry
 from lotuspick.core.settings import ClassSettings, RetrySafety
 from lotuspick.core.setup_time import SetupTime
-from lotuspick.core.state import SessionState
+from lotuspick.core.state import RetryDecision, SessionState
 
 
 def session(retry_safety: RetrySafety, attempt: int = 0) -> SessionState:
@@ -24,12 +24,12 @@
             settings(retry_budget_floor=1.0, retry_budget_ratio=0.5, retry_budget_window_us=SECOND)
         )
         self.assertTrue(budget.allows_retry(NOW))
-        budget.retries.append(NOW)
+        budget.retries.record(NOW)
         self.assertFalse(budget.allows_retry(NOW))
-        budget.record_request(NOW)
-        budget.record_request(NOW)
+        budget.requests.record(NOW)
+        budget.requests.record(NOW)
         self.assertTrue(budget.allows_retry(NOW))
-        budget.retries.append(NOW)
+        budget.retries.record(NOW)
         self.assertFalse(budget.allows_retry(NOW))
         self.assertTrue(budget.allows_retry(NOW + SECOND))
 
--- a/tests/test_core_rung_control.py
+++ b/tests/test_core_rung_control.py
@@ -20,7 +20,7 @@
     def test_steps_rank_from_least_to_most_value(self) -> None:
         steps = self.rungs.steps
         ranked = sorted(
-            (steps.ranks[name][rung], steps.value(session_class, rung))
+            (self.rungs.ranks[name][rung], steps.value(session_class, rung))
             for name, session_class in self.made.classes.items()
             for rung in range(session_class.lowest_rung + 1, len(steps.ladder))
         )
