--- a/lotuspick/core/context.py
+++ b/lotuspick/core/context.py
@@ -105,12 +105,15 @@
 
     def observe_load(self, server: ServerState, topic: str, value: float, at_us: int) -> None:
         """Take a reading as of ``at_us``; one that is not a finite number of 0 or more is passed over."""
-        if topic == "rack" and is_not_negative(value):
-            server.uplink.observe(value, at_us)
-        elif topic == "link" and is_not_negative(value):
+        if not is_not_negative(value):
+            return
+        if topic == "link":
             server.link.observe(value, at_us)
-            self.hint_trust.compare_with_reading(server, value, at_us, self.now)
-        elif topic == "streams" and is_not_negative(value):
+            if server.claims:
+                self.hint_trust.compare_with_reading(server, value, at_us, self.now)
+        elif topic == "rack":
+            server.uplink.observe(value, at_us)
+        elif topic == "streams":
             server.other_streams = max(0.0, value - len(server.sessions))
 
     def observe_notified_load(
--- a/lotuspick/core/rung_control.py
+++ b/lotuspick/core/rung_control.py
@@ -34,9 +34,9 @@
         session_class = session.session_class
         if session.over_tenant_rate:
             return session_class.lowest_rung
-        requested = min(session.constraint.highest_rung, session.request.highest_rung)
-        offered = min(session_class.highest_rung, len(self.ladder) - 1)
-        return max(session_class.lowest_rung, min(requested, offered))
+        requested, permitted = session.request.highest_rung, session.constraint.highest_rung
+        highest = min(requested, permitted, session_class.highest_rung, len(self.ladder) - 1)
+        return max(session_class.lowest_rung, highest)
 
     def raise_free_load(self, duration_us: int) -> None:
         """Give more of each link to steps of little value, as time passes."""
@@ -92,8 +92,9 @@
         server.rungs_checked_at = now = context.now
         if now - server.short_at < self.calm_us or server.uplink.base is None or server.link.base is None:
             return
-        link = max((server.link, server.uplink), key=lambda link: link.load(0.0, now))
-        load = link.load(0.0, now)
+        link, load = server.link, server.link.load(0.0, now)
+        if (uplink_load := server.uplink.load(0.0, now)) > load:
+            link, load = server.uplink, uplink_load
         # Others raise theirs as well: of the room a broker takes its part, by chance. A start is its own.
         part = 1.0 if started else min(1.0, link.own_kb_per_s / (load * link.kb_per_s + 1e-9))
         sessions = (started,) if started else server.sessions.values()
