--- a/lotuspick/cells/constraints.py
+++ b/lotuspick/cells/constraints.py
@@ -23,6 +23,7 @@
 from lotuspick.core.events import (
     AttemptEnded,
     AttemptOutcome,
+    ReadingTopic,
     ServerListUpdate,
     SessionNotification,
     SessionPlaying,
@@ -286,7 +287,7 @@
             self.counts.start_playing(session)
 
     def _on_attempt_ended(self, event: AttemptEnded, now: int) -> None:
-        load = event.load_report.get("link")
+        load = event.load_report.get(ReadingTopic.LINK)
         if load is not None:
             self._report_load(event.server, load, now)
         session = self.sessions.get(event.session)
@@ -320,7 +321,7 @@
             self.counts.remove(session)
 
     def _on_notification(self, notification: SessionNotification, now: int) -> None:
-        if notification.topic == "link":
+        if notification.topic == ReadingTopic.LINK:
             self._report_load(notification.server, notification.value, now)
 
     def _report_load(self, server: str, load: float, now: int) -> None:
--- a/lotuspick/core/actions.py
+++ b/lotuspick/core/actions.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from lotuspick.core.events import Event
+from lotuspick.core.events import AttemptOutcome, Event
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectSession:
-    """Final answer: refused; to ask again is harmless. ``retry_after_us`` 0: no advice."""
+    """Final answer: rejected; to ask again is harmless. ``retry_after_us`` 0: no advice."""
 
     session: str
     retry_after_us: int = 0
@@ -56,12 +56,34 @@
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """A line for on-call staff."""
+    """A line of text for on-call staff, of a decision module without a type of its own for it."""
 
     text: str
 
 
-Action = SetRung | ForwardAttempt | RejectSession | FailSession | StartTimer | Subscribe | LogMessage
+@dataclass(frozen=True, slots=True)
+class ServerEjected:
+    """Notify on-call staff that a server is given no attempts for ``duration_us``, after this outcome."""
 
+    server: str
+    outcome: AttemptOutcome
+    duration_us: int
+
+    @property
+    def text(self) -> str:
+        """The message as one line."""
+        return f"eject {self.server} {self.outcome} {self.duration_us // 1000} ms"
+
+
+Action = (
+    SetRung
+    | ForwardAttempt
+    | RejectSession
+    | FailSession
+    | StartTimer
+    | Subscribe
+    | LogMessage
+    | ServerEjected
+)
 
 Observation = Event | ForwardAttempt | RejectSession | FailSession
--- a/lotuspick/core/context.py
+++ b/lotuspick/core/context.py
@@ -9,12 +9,18 @@
 import math
 import random
 from collections import Counter
-from collections.abc import Mapping
 
 from lotuspick.core import tuning
 from lotuspick.core.actions import Action, FailSession, ForwardAttempt, RejectSession, SetRung, StartTimer
 from lotuspick.core.constraints import ConstraintProvider
-from lotuspick.core.events import PlayerHint, ServerEntry, ServerHint, SessionNotification
+from lotuspick.core.events import (
+    LoadReport,
+    PlayerHint,
+    ReadingTopic,
+    ServerEntry,
+    ServerHint,
+    SessionNotification,
+)
 from lotuspick.core.hint_trust import HintTrust
 from lotuspick.core.length_popularity import LengthPopularity
 from lotuspick.core.load_estimation import NEVER, LinkLoad, LoadAverage, UplinkLoad
@@ -103,17 +109,17 @@
         """Drop the record of a server."""
         self.link_loads.forget(self.servers.pop(name).link)
 
-    def observe_load(self, server: ServerState, topic: str, value: float, at_us: int) -> None:
+    def observe_load(self, server: ServerState, topic: ReadingTopic, value: float, at_us: int) -> None:
         """Take a reading as of ``at_us``; one that is not a finite number of 0 or more is passed over."""
         if not is_not_negative(value):
             return
-        if topic == "link":
+        if topic == ReadingTopic.LINK:
             server.link.observe(value, at_us)
             if server.claims:
                 self.hint_trust.compare_with_reading(server, value, at_us, self.now)
-        elif topic == "rack":
+        elif topic == ReadingTopic.RACK:
             server.uplink.observe(value, at_us)
-        elif topic == "streams":
+        elif topic == ReadingTopic.STREAMS:
             server.other_streams = max(0.0, value - len(server.sessions))
 
     def observe_notified_load(
@@ -123,14 +129,14 @@
 
         The first one on a session set up here is of now, and counts it already; later ones are late.
         """
-        first = event.topic == "link" and session is not None and not session.load_reported
+        first = event.topic == ReadingTopic.LINK and session is not None and not session.load_reported
         read_at = self.now - (0 if first else self.settings.notification_delay_us)
         self.observe_load(server, event.topic, event.value, read_at)
         if first and session is not None:
             session.load_reported = True
         return first
 
-    def observe_report(self, server: ServerState, load_report: Mapping[str, float]) -> None:
+    def observe_report(self, server: ServerState, load_report: LoadReport) -> None:
         """Take the readings that came with the end of an attempt."""
         read_at = self.now - self.settings.notification_delay_us // 2
         for topic, value in load_report.items():
--- a/lotuspick/core/controller.py
+++ b/lotuspick/core/controller.py
@@ -25,6 +25,7 @@
 from lotuspick.core.validation import is_not_negative, require_seed
 
 UPKEEP_INTERVAL_US = 10 * tuning.QUEUE_POLL_INTERVAL_US
+MAX_UPKEEP_GAP_US = 2 * tuning.SHORTFALL_INTERVAL_US
 QUEUE_POLL_TIMER = 0  # the timers of sessions are counted from 1
 
 
@@ -49,8 +50,7 @@
         self.placement = Placement(self.context, self.rungs, self.slow_start)
         self.admission = Admission(self.context, self.rungs, self.retry_budget, self.setup_time)
         self.subscription_due = settings.subscription_required
-        self.queue_polled = False
-        """The timer for the next look at the queue is running."""
+        self.queue_poll_pending = False
         self.upkeep_at = 0
 
     def handle(self, now: int, news: Sequence[events.Event]) -> list[actions.Action]:
@@ -79,8 +79,7 @@
 
     def _upkeep(self, now: int) -> None:
         """Do what is due about once a second."""
-        elapsed_us = min(now - self.upkeep_at, 2 * tuning.SHORTFALL_NOTIFICATION_INTERVAL_US)
-        self.rungs.raise_free_load(elapsed_us)
+        self.rungs.raise_free_load(min(now - self.upkeep_at, MAX_UPKEEP_GAP_US))
         self.upkeep_at = now
         stale_us = tuning.STALE_INTERVALS * self.settings.notification_interval_us
         for name, server in list(self.servers.items()):
@@ -105,7 +104,7 @@
 
     def _on_server_entry(self, entry: events.ServerEntry, first_list: bool) -> None:
         known = self.servers.get(entry.server)
-        if known is None and entry.state == "gone":
+        if known is None and entry.state == events.EndpointState.GONE:
             return
         server = known or self.context.add_server(entry)
         if known is None and first_list:
@@ -114,7 +113,7 @@
             started_at = entry.started_us or self.context.now
             self.slow_start.expect_start(server, started_at + self.settings.warm_up_us)
         server.entry = entry
-        server.listed = entry.state != "gone"
+        server.listed = entry.state != events.EndpointState.GONE
 
     def _on_anything_changed(self, _: events.Event) -> None:
         self.context.changed_positions.update(range(self.settings.positions))
@@ -129,13 +128,13 @@
         if server is None or not is_not_negative(event.value):
             return
         context.changed_positions.add(server.entry.position)
-        if event.topic == "rung" and session is not None and session.server is server:
+        if event.topic == events.ReadingTopic.RUNG and session is not None and session.server is server:
             context.adopt(session, min(int(event.value), len(settings.ladder_kb_per_s) - 1))
-        elif event.topic == "share" and context.observe_share(server, event.value):
+        elif event.topic == events.ReadingTopic.SHARE and context.observe_share(server, event.value):
             self.rungs.lower_rungs(server, event.value)
         if context.observe_notified_load(server, session, event) and session is not None:
             self.rungs.adjust_after_start(session, server)
-        elif event.topic == "link":
+        elif event.topic == events.ReadingTopic.LINK:
             self.rungs.raise_rungs(server)
 
     def _on_player_hint(self, hint: events.PlayerHint) -> None:
@@ -181,8 +180,8 @@
             weigh = session.weighed_at < 0 or session in again
             if not (weigh and self._weigh(session, loads)) and self.context.now >= session.queued_until:
                 self.admission.reject(session)
-        if self.queued and not self.queue_polled:
-            self.queue_polled = True
+        if self.queued and not self.queue_poll_pending:
+            self.queue_poll_pending = True
             poll = actions.StartTimer(QUEUE_POLL_TIMER, tuning.QUEUE_POLL_INTERVAL_US)
             self.context.actions.append(poll)
 
@@ -259,7 +258,7 @@
             session.answered = True
 
     def _on_timer(self, event: events.TimerFired) -> None:
-        self.queue_polled = self.queue_polled and event.timer_id != QUEUE_POLL_TIMER
+        self.queue_poll_pending = self.queue_poll_pending and event.timer_id != QUEUE_POLL_TIMER
         context = self.context
         name = context.timers.pop(event.timer_id, None)
         if name == "":
--- a/lotuspick/core/events.py
+++ b/lotuspick/core/events.py
@@ -13,6 +13,36 @@
 from lotuspick.core.validation import require_not_negative, require_positive
 
 
+class EndpointState(StrEnum):
+    """What the server list says of a server."""
+
+    ACTIVE = "active"
+    DRAINING = "draining"
+    GONE = "gone"
+
+
+ENDPOINT_STATES = frozenset(EndpointState)
+
+
+class ReadingTopic(StrEnum):
+    """What a server reports a figure of."""
+
+    SHARE = "share"
+    """The part of its rate that a session gets."""
+    RUNG = "rung"
+    """The rung at which a session plays."""
+    LINK = "link"
+    """Demand on the server's link over its capacity."""
+    RACK = "rack"
+    """The same of the uplink that its rack shares."""
+    STREAMS = "streams"
+    """Streams that the server runs for all brokers."""
+
+
+LoadReport = Mapping[ReadingTopic, float]
+"""The readings that come with the end of an attempt."""
+
+
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
     """One line of the server list."""
@@ -21,8 +51,7 @@
     zone: str
     kind: str
     position: int
-    state: str = "active"
-    """``active``, ``draining`` or ``gone``."""
+    state: EndpointState = EndpointState.ACTIVE
     weight: float = 1.0
     started_us: int = 0
     """Clock time of its last start; 0: long ago."""
@@ -30,7 +59,7 @@
     """host:port, where reported."""
 
     def __post_init__(self) -> None:
-        if self.state not in ("active", "draining", "gone"):
+        if self.state not in ENDPOINT_STATES:
             raise ValueError(f"server {self.server}: unknown state {self.state!r}")
         require_not_negative(f"server {self.server}", position=self.position, weight=self.weight)
 
@@ -46,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionRequest:
-    """A viewer asks for a session; it must be started, refused or failed before ``deadline_us``."""
+    """A viewer asks for a session; it must be started, rejected or failed before ``deadline_us``."""
 
     session: str
     session_class: str
@@ -116,10 +145,10 @@
     server: str
     outcome: AttemptOutcome
     final: bool = False
-    """Nothing more is owed for the session."""
+    """The session has its final answer: no retry may follow."""
     duration_us: int = 0
-    load_report: Mapping[str, float] = field(default_factory=dict)
-    """Load report: any of ``streams``, ``link``, ``rack``."""
+    load_report: LoadReport = field(default_factory=dict)
+    """Readings of any of ``STREAMS``, ``LINK`` and ``RACK``."""
     server_alive: bool = False
     """The attempt or its connection failed alone: nothing shows that the server's process is gone."""
     viewer_left: bool = False
@@ -139,14 +168,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionNotification:
-    """A reading that came with a playing session.
-
-    ``topic``: ``share`` (of its rate that it gets), ``rung``, ``link`` or ``rack`` (demand over capacity).
-    """
+    """A reading that came with a playing session."""
 
     session: str
     server: str
-    topic: str
+    topic: ReadingTopic
     value: float
 
 
@@ -194,7 +220,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewerDisconnected:
-    """The viewer left before an answer; nothing more is owed."""
+    """The viewer left before an answer, so none is sent any more."""
 
     session: str
 
--- a/lotuspick/core/outlier_detection.py
+++ b/lotuspick/core/outlier_detection.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lotuspick.core import tuning
-from lotuspick.core.actions import LogMessage
+from lotuspick.core.actions import ServerEjected
 from lotuspick.core.context import BrokerContext
 from lotuspick.core.events import AttemptOutcome
 from lotuspick.core.load_estimation import NEVER
@@ -20,7 +20,7 @@
         self.context = context
         self.slow_start = slow_start
 
-    def record_outcome(self, server: ServerState, outcome: str, server_alive: bool) -> None:
+    def record_outcome(self, server: ServerState, outcome: AttemptOutcome, server_alive: bool) -> None:
         """Eject a server on a failure, or on a few in a row where its process is known to live."""
         if outcome in NEUTRAL_OUTCOMES:
             return
@@ -36,8 +36,7 @@
             doublings = min(server.ejection_count - 1, 10)
             ejection_us = min(tuning.MAX_EJECTION_US, tuning.BASE_EJECTION_US << doublings)
             server.ejected_until = now + ejection_us
-            text = f"eject {server.entry.server} {outcome} {ejection_us // 1000} ms"
-            self.context.actions.append(LogMessage(text))
+            self.context.actions.append(ServerEjected(server.entry.server, outcome, ejection_us))
         process_gone = not server_alive and outcome != AttemptOutcome.ERROR
         if outcome == AttemptOutcome.TIMEOUT or process_gone:
             self.slow_start.expect_start(server, NEVER)  # Slow start until a warm-up after its return.
--- a/lotuspick/core/placement.py
+++ b/lotuspick/core/placement.py
@@ -11,6 +11,7 @@
 
 from lotuspick.core import tuning
 from lotuspick.core.context import BrokerContext
+from lotuspick.core.events import EndpointState
 from lotuspick.core.rung_control import RungControl
 from lotuspick.core.slow_start import SlowStart
 from lotuspick.core.state import Fit, Loads, ServerState, SessionState
@@ -59,7 +60,7 @@
         now = self.context.now
         return (
             server.listed
-            and server.entry.state == "active"
+            and server.entry.state == EndpointState.ACTIVE
             and now >= server.ejected_until
             and len(server.sessions) + server.other_streams < server.stream_limit
             and (now >= server.warm_at or self.slow_start.slow_start_allows(server))
--- a/lotuspick/core/retry.py
+++ b/lotuspick/core/retry.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lotuspick.core import tuning
-from lotuspick.core.events import PROVES_NOT_EXECUTED
+from lotuspick.core.events import PROVES_NOT_EXECUTED, AttemptOutcome
 from lotuspick.core.settings import RetrySafety, Settings
 from lotuspick.core.setup_time import SetupTime
 from lotuspick.core.sliding_window import RecentEvents
@@ -27,7 +27,9 @@
         return retries + 1 <= settings.retry_budget_floor + settings.retry_budget_ratio * requests
 
 
-def decide_retry(session: SessionState, outcome: str, settings: Settings, now: int) -> RetryDecision:
+def decide_retry(
+    session: SessionState, outcome: AttemptOutcome, settings: Settings, now: int
+) -> RetryDecision:
     """Decide about a session whose attempt ended with ``outcome`` at clock time ``now`` (us)."""
     session.may_have_executed |= outcome not in PROVES_NOT_EXECUTED
     if session.may_have_executed and session.session_class.retry_safety is not RetrySafety.IDEMPOTENT:
--- a/lotuspick/core/rung_control.py
+++ b/lotuspick/core/rung_control.py
@@ -22,6 +22,7 @@
         """For each class and rung the rank of its step among all, from 0 (least) to 1 (most)."""
         self.free_load = tuning.INITIAL_FREE_LOAD
         """Share of a link up to which every step is given."""
+        self.lowering_interval_us = context.settings.notification_delay_us + tuning.SHORTFALL_INTERVAL_US
         self.calm_us = int(tuning.CALM_INTERVALS * context.notification_interval_us)
 
     def load_limit(self, session_class: ClassSettings, rung: int) -> float:
@@ -51,13 +52,11 @@
         context = self.context
         server.short_at = context.now
         part = len(server.sessions) / max(1, len(context.sessions))
-        turnovers = context.popularity.turnovers(tuning.SHORTFALL_NOTIFICATION_INTERVAL_US)
+        turnovers = context.popularity.turnovers(tuning.SHORTFALL_INTERVAL_US)
         self.free_load = max(tuning.MIN_FREE_LOAD, self.free_load - tuning.FREE_LOAD_FALL * part * turnovers)
         if share >= tuning.LOWER_RUNGS_SHARE or context.now < server.lowering_allowed_at:
             return
-        server.lowering_allowed_at = (
-            context.now + context.settings.notification_delay_us + tuning.SHORTFALL_NOTIFICATION_INTERVAL_US
-        )
+        server.lowering_allowed_at = context.now + self.lowering_interval_us
         excess_kb_per_s = server.link.own_kb_per_s * (1 - share * tuning.LOWER_RUNGS_SHARE)
         candidates = [
             session
--- a/lotuspick/core/tuning.py
+++ b/lotuspick/core/tuning.py
@@ -26,7 +26,7 @@
 LOWER_RUNGS_SHARE = 0.97  # share delivered under which rungs are lowered, to it: a change costs a second
 CALM_INTERVALS = 1.8  # notification intervals without a shortfall before a raise: longer than pauses
 MIN_RAISE_GAIN = 2.0  # times its cost that a rung up must bring: length hints are rough
-SHORTFALL_NOTIFICATION_INTERVAL_US = 1_000_000  # us: between notifications of a short server
+SHORTFALL_INTERVAL_US = 1_000_000  # us: between notifications of a short server
 
 STALLED_SHARE = 0.3  # share delivered under which a server stands still: no reading of a load
 STALE_INTERVALS = 1.5  # notification intervals after which they count as missing, and a reading fades
--- a/lotuspick/lab/emulator/world.py
+++ b/lotuspick/lab/emulator/world.py
@@ -14,7 +14,7 @@
 from lotuspick.cells.constraints import CellConstraints
 from lotuspick.cells.model import Plan, PlanError
 from lotuspick.core.controller import Controller
-from lotuspick.core.events import ServerEntry, ServerListUpdate, SessionRequest
+from lotuspick.core.events import EndpointState, ReadingTopic, ServerEntry, ServerListUpdate, SessionRequest
 from lotuspick.core.operator_events import OperatorEvent
 from lotuspick.lab.emulator.audit import AIM_US, PAID, WORTH, Books, Intent
 from lotuspick.lab.emulator.spec import (
@@ -89,7 +89,7 @@
         self.places = int(world.spec.sessions_per_link * 2.6)
         self.streams: dict[str, Stream] = {}
         self.coming: dict[str, tuple[Broker, int]] = {}
-        self.up, self.slow, self.thin, self.state = True, 1, 1.0, "active"
+        self.up, self.slow, self.thin, self.state = True, 1, 1.0, EndpointState.ACTIVE
         self.started_us = self.free_us = 0
         self.life = 0
 
@@ -133,7 +133,7 @@
                         ask.session,
                         TerminationReason.REJECTED_BY_SERVER,
                         TerminationReason.INTERRUPTED,
-                        {"link": self.load},
+                        {ReadingTopic.LINK: self.load},
                     ),
                 ),
             )
@@ -153,7 +153,7 @@
         self.streams[ask.session] = Stream(ask.session, broker, life, viewer, ask.rung, viewer.rate, scale)
         load = self.load
         broker.hear(life, AttemptAnswered(self.name, ask.session, b""), HOP_US)
-        broker.hear(life, EdgeServerNotified(self.name, ask.session, "link", load), HOP_US)
+        broker.hear(life, EdgeServerNotified(self.name, ask.session, ReadingTopic.LINK, load), HOP_US)
         world.later(int(viewer.left_s * SECOND), lambda: self.finish(ask.session))
 
     def finish(self, session: str) -> None:
@@ -166,7 +166,7 @@
                     session,
                     TerminationReason.FINISHED,
                     TerminationReason.FINISHED,
-                    {"link": self.load},
+                    {ReadingTopic.LINK: self.load},
                 ),
                 HOP_US,
             )
@@ -189,7 +189,7 @@
         self.streams, self.coming = {}, {}
 
     def come_back(self) -> None:
-        self.up, self.state, self.started_us = True, "active", self.world.now
+        self.up, self.state, self.started_us = True, EndpointState.ACTIVE, self.world.now
 
     def warmed(self) -> float:
         """Share of a cold node's capacity that it has; 1 for a warm one."""
@@ -243,7 +243,7 @@
         elif self.up and life == self.life:
             if isinstance(item, EndpointListChanged):
                 for entry in item.update.servers:
-                    if entry.state == "draining":
+                    if entry.state == EndpointState.DRAINING:
                         self.drained.setdefault(entry.server, self.world.now)
                     else:
                         self.drained.pop(entry.server, None)
@@ -591,11 +591,15 @@
         for stream in first.values():
             if self.now % NOTE_US < METER_US and gives < SHARE_FULL:
                 stream.broker.hear(
-                    stream.life, EdgeServerNotified(node.name, stream.session, "share", gives), LATE_US
+                    stream.life,
+                    EdgeServerNotified(node.name, stream.session, ReadingTopic.SHARE, gives),
+                    LATE_US,
                 )
             if (self.now + node.index * 70_000) % LOAD_US < METER_US:
                 stream.broker.hear(
-                    stream.life, EdgeServerNotified(node.name, stream.session, "link", node.load), LATE_US
+                    stream.life,
+                    EdgeServerNotified(node.name, stream.session, ReadingTopic.LINK, node.load),
+                    LATE_US,
                 )
 
     # ---- troubles -----------------------------------------------------------------------------------------
@@ -606,10 +610,10 @@
         match trouble.kind:
             case "dead":
                 node.die()
-                node.state = "gone"
+                node.state = EndpointState.GONE
                 self.tell_roster(node)
             case "drain":
-                node.state = "draining"
+                node.state = EndpointState.DRAINING
                 self.tell_roster(node)
             case "slow":
                 node.slow = 20
--- a/lotuspick/lab/experiment/cost.py
+++ b/lotuspick/lab/experiment/cost.py
@@ -19,6 +19,7 @@
     AttemptEnded,
     AttemptOutcome,
     Event,
+    ReadingTopic,
     ServerEntry,
     ServerListUpdate,
     SessionNotification,
@@ -69,10 +70,12 @@
             case ForwardAttempt():
                 name, server = action.session, action.server
                 self.after(now + 80_000, SessionStarted(name, 0, server, 80_000))
-                self.after(now + 90_000, SessionNotification(name, server, "link", 0.5))
+                self.after(now + 90_000, SessionNotification(name, server, ReadingTopic.LINK, 0.5))
                 self.after(
                     now + self.lengths[name],
-                    AttemptEnded(name, 0, server, AttemptOutcome.SERVED, True, load_report={"link": 0.5}),
+                    AttemptEnded(
+                        name, 0, server, AttemptOutcome.SERVED, True, load_report={ReadingTopic.LINK: 0.5}
+                    ),
                 )
             case RejectSession() | FailSession():
                 self.answers += 1
--- a/lotuspick/plugin.py
+++ b/lotuspick/plugin.py
@@ -18,13 +18,20 @@
 
 import threading
 import time
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Protocol
 
 from lotuspick.core.constraints import ConstraintProvider
 from lotuspick.core.controller import Controller
-from lotuspick.core.events import PlayerHint, ServerHint, ServerListUpdate, SessionRequest
+from lotuspick.core.events import (
+    LoadReport,
+    PlayerHint,
+    ReadingTopic,
+    ServerHint,
+    ServerListUpdate,
+    SessionRequest,
+)
 from lotuspick.core.settings import Settings
 from lotuspick.routing.dispatcher import SessionDispatcher, overload_retry_after_ms
 from lotuspick.routing.interfaces import AttemptRequest
@@ -232,7 +239,7 @@
         server: str,
         session: str,
         reason: TerminationReason,
-        load_report: Mapping[str, float] | None = None,
+        load_report: LoadReport | None = None,
     ) -> None:
         """Report that a call ended without an answer, or that a session that played has ended."""
         self.post(EdgeServerReleased(server, session, reason, reason, load_report or {}))
@@ -241,8 +248,8 @@
         """Report that a server has failed, and all sessions there with it."""
         self.post(EdgeServerFailed(server, reason))
 
-    def noted(self, server: str, session: str, topic: str, value: float) -> None:
-        """Report a value on a session that plays; topics are ``share``, ``rung``, ``link`` and ``rack``."""
+    def noted(self, server: str, session: str, topic: ReadingTopic, value: float) -> None:
+        """Report a value on a session that plays; ``topic`` is one of SHARE, RUNG, LINK, RACK."""
         self.post(EdgeServerNotified(server, session, topic, value))
 
     def hinted(self, hint: PlayerHint | ServerHint) -> None:
--- a/lotuspick/protocol/edge_messages.py
+++ b/lotuspick/protocol/edge_messages.py
@@ -6,6 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
+from lotuspick.core.events import ReadingTopic
 from lotuspick.protocol.errors import ProtocolError, fits
 from lotuspick.routing.interfaces import AttemptRequest
 from lotuspick.routing.messages import AttemptAnswered, EdgeServerNotified, EdgeServerReleased
@@ -30,8 +31,18 @@
 """What a cause means before the answer; any other: the set-up was interrupted."""
 REASONS_AFTER_ANSWER = {NORMAL: TerminationReason.FINISHED, REVOKED: TerminationReason.REVOKED}
 """What a cause means after the answer; any other: the session was interrupted."""
-TOPICS = {"quality": "share", "profile": "rung", "nic": "link", "tor": "rack"}
-COLUMNS = {"outstanding": "streams", "inflight": "streams", "x0": "link", "x1": "rack"}
+TOPICS = {
+    "quality": ReadingTopic.SHARE,
+    "profile": ReadingTopic.RUNG,
+    "nic": ReadingTopic.LINK,
+    "tor": ReadingTopic.RACK,
+}
+COLUMNS = {
+    "outstanding": ReadingTopic.STREAMS,
+    "inflight": ReadingTopic.STREAMS,
+    "x0": ReadingTopic.LINK,
+    "x1": ReadingTopic.RACK,
+}
 RELEASE_CAUSES = {
     TerminationReason.CANCELLED_BY_VIEWER: CANCELLED,
     TerminationReason.NO_ANSWER: CANCELLED,
@@ -147,9 +158,9 @@
     return None
 
 
-def report(message: Message) -> dict[str, float]:
+def report(message: Message) -> dict[ReadingTopic, float]:
     """The load report, by column; empty without one. Fields that make no sense are ignored."""
-    columns: dict[str, float] = {}
+    columns: dict[ReadingTopic, float] = {}
     for part in message.parameters.get(REPORT, b"").decode("utf-8", "replace").split(";"):
         name, _, text = part.strip().partition(":")
         value = _parse_finite(text)
--- a/lotuspick/protocol/endpoint_events.py
+++ b/lotuspick/protocol/endpoint_events.py
@@ -7,10 +7,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lotuspick.core.events import ServerEntry, ServerListUpdate
+from lotuspick.core.events import EndpointState, ServerEntry, ServerListUpdate
 from lotuspick.protocol.errors import ProtocolError
 
-STATES = {"in_service": "active", "terminating": "draining", "terminated": "gone"}
+STATES = {
+    "in_service": EndpointState.ACTIVE,
+    "terminating": EndpointState.DRAINING,
+    "terminated": EndpointState.GONE,
+}
 
 
 @dataclass(frozen=True, slots=True)
--- a/lotuspick/routing/dispatcher.py
+++ b/lotuspick/routing/dispatcher.py
@@ -19,6 +19,7 @@
     ForwardAttempt,
     LogMessage,
     RejectSession,
+    ServerEjected,
     SetRung,
     StartTimer,
     Subscribe,
@@ -172,7 +173,11 @@
                 timer_id = action.timer_id
                 self.timers.start(now + max(action.delay_us, 1), lambda _now: TimerFired(timer_id))
             case LogMessage():
-                log.info("module", extra={"text": action.text})
+                log.info("decision_message", extra={"text": action.text})
+            case ServerEjected():
+                duration_ms = action.duration_us // US_PER_MS
+                fields = {"server": action.server, "reason": str(action.outcome), "duration_ms": duration_ms}
+                log.info("server_ejected", extra=fields)
             case Subscribe():
                 pass  # the endpoint list is watched from the start
             case SetRung() | ForwardAttempt() | RejectSession() | FailSession():
--- a/lotuspick/routing/messages.py
+++ b/lotuspick/routing/messages.py
@@ -2,10 +2,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from lotuspick.core.events import PlayerHint, ServerHint, ServerListUpdate, SessionRequest, TenantRates
+from lotuspick.core.events import (
+    LoadReport,
+    PlayerHint,
+    ReadingTopic,
+    ServerHint,
+    ServerListUpdate,
+    SessionRequest,
+    TenantRates,
+)
 from lotuspick.routing.interfaces import ViewerConnection
 from lotuspick.routing.termination import TerminationReason
 
@@ -47,7 +54,7 @@
     server: str
     session: str
     description: bytes
-    load_report: Mapping[str, float] = field(default_factory=dict)
+    load_report: LoadReport = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +65,7 @@
     session: str
     reason_before_answer: TerminationReason
     reason_after_answer: TerminationReason
-    load_report: Mapping[str, float] = field(default_factory=dict)
+    load_report: LoadReport = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +74,7 @@
 
     server: str
     session: str
-    topic: str
+    topic: ReadingTopic
     value: float
 
 
--- a/lotuspick/routing/session_lifecycle.py
+++ b/lotuspick/routing/session_lifecycle.py
@@ -7,10 +7,10 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 
 from lotuspick.core.actions import ForwardAttempt
-from lotuspick.core.events import AttemptEnded, Event, ViewerDisconnected
+from lotuspick.core.events import AttemptEnded, Event, LoadReport, ViewerDisconnected
 from lotuspick.routing.indeterminate_attempts import IndeterminateAttempts
 from lotuspick.routing.interfaces import AttemptRequest, EdgeServers, ViewerConnection
 from lotuspick.routing.session_table import SessionEntry, SessionTable
@@ -80,7 +80,7 @@
         entry: SessionEntry,
         reason: TerminationReason,
         now: int,
-        load_report: Mapping[str, float] | None = None,
+        load_report: LoadReport | None = None,
     ) -> AttemptEnded:
         """End the attempt that is out without an answer; the request stays open."""
         log.debug(
@@ -136,7 +136,7 @@
         entry: SessionEntry,
         reason: TerminationReason,
         now: int,
-        load_report: Mapping[str, float] | None = None,
+        load_report: LoadReport | None = None,
     ) -> AttemptEnded:
         """End a session that plays; its viewer is informed unless the viewer ended it."""
         event = _attempt_ended(session, entry, reason, now, load_report, final=True)
@@ -176,7 +176,7 @@
     entry: SessionEntry,
     reason: TerminationReason,
     now: int,
-    load_report: Mapping[str, float] | None = None,
+    load_report: LoadReport | None = None,
     *,
     final: bool = False,
 ) -> AttemptEnded:
--- a/lotuspick/simulator.py
+++ b/lotuspick/simulator.py
@@ -18,6 +18,7 @@
     ForwardAttempt,
     LogMessage,
     RejectSession,
+    ServerEjected,
     SetRung,
     StartTimer,
     Subscribe,
@@ -26,7 +27,9 @@
 from lotuspick.core.events import (
     AttemptEnded,
     AttemptOutcome,
+    EndpointState,
     Event,
+    ReadingTopic,
     ServerEntry,
     ServerListUpdate,
     SessionNotification,
@@ -48,10 +51,19 @@
 )
 from lotuspick.protocol.site_settings import read_settings
 
-STATES = {"active": "active", "leaving": "draining", "left": "gone"}
+STATES = {
+    "active": EndpointState.ACTIVE,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.GONE,
+}
 FORMS = ("delta", "full", "cached", "failed")
-TOPICS = {"1": "share", "2": "rung", "3": "link", "4": "rack"}
-COLUMNS = {"outstanding": "streams", "x0": "link", "x1": "rack"}
+TOPICS = {
+    "1": ReadingTopic.SHARE,
+    "2": ReadingTopic.RUNG,
+    "3": ReadingTopic.LINK,
+    "4": ReadingTopic.RACK,
+}
+COLUMNS = {"outstanding": ReadingTopic.STREAMS, "x0": ReadingTopic.LINK, "x1": ReadingTopic.RACK}
 OUTCOMES = {
     "delivered": AttemptOutcome.SERVED,
     "app_error": AttemptOutcome.ERROR,
@@ -64,8 +76,8 @@
 }
 
 
-def _report(fields: Fields) -> dict[str, float]:
-    report: dict[str, float] = {}
+def _report(fields: Fields) -> dict[ReadingTopic, float]:
+    report: dict[ReadingTopic, float] = {}
     for pair in fields.get("Metrics", "").split(","):
         name, _, text = pair.partition(":")
         value = parse_lenient_number(text)
@@ -155,7 +167,7 @@
         fields.get("Az", ""),
         fields.get("ClassOfHost", ""),
         read_whole(fields, "Position", 0),
-        STATES.get(state, state),
+        STATES.get(state, state),  # type: ignore[arg-type]  # ServerEntry reports an unknown one
         read_decimal(fields, "Units", 1.0),
         read_whole(fields, "SinceUs", 0),
     )
@@ -177,7 +189,7 @@
             return f"TIMER Handle={action.timer_id} FromNowUs={action.delay_us}"
         case Subscribe():
             return "FOLLOW On=1"
-        case LogMessage():
+        case LogMessage() | ServerEjected():
             return f"RECORD ReasonText={one_line(action.text)}"
 
 
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -19,7 +19,14 @@
 from helpers import SECOND, settings
 
 from lotuspick.core import actions, events
-from lotuspick.core.actions import FailSession, ForwardAttempt, RejectSession, SetRung, StartTimer
+from lotuspick.core.actions import (
+    FailSession,
+    ForwardAttempt,
+    RejectSession,
+    ServerEjected,
+    SetRung,
+    StartTimer,
+)
 from lotuspick.core.controller import Controller
 from lotuspick.core.events import (
     AttemptEnded,
@@ -89,6 +96,8 @@
         return None
     if not hasattr(value, "__dataclass_fields__"):
         return [plain(each) for each in value] if isinstance(value, (list, tuple)) else value
+    if isinstance(value, ServerEjected):
+        return ["Log", value.text]
     told = [(getattr(value, each.name), each.default) for each in fields(value)]
     while told and told[-1][1] is not MISSING and told[-1][0] == told[-1][1]:
         told.pop()
--- a/tests/test_core_outlier_detection.py
+++ b/tests/test_core_outlier_detection.py
@@ -7,7 +7,7 @@
 from helpers import NOW, controller, entry
 
 from lotuspick.core import tuning
-from lotuspick.core.actions import LogMessage
+from lotuspick.core.actions import ServerEjected
 from lotuspick.core.events import AttemptOutcome
 from lotuspick.core.load_estimation import NEVER
 
@@ -45,7 +45,7 @@
             self.context.now = self.server.ejected_until
         base, maximum = tuning.BASE_EJECTION_US, tuning.MAX_EJECTION_US
         self.assertEqual(lengths, [min(maximum, base << count) for count in range(6)])
-        self.assertEqual(sum(isinstance(action, LogMessage) for action in self.context.actions), 6)
+        self.assertEqual(sum(isinstance(action, ServerEjected) for action in self.context.actions), 6)
 
     def test_lost_process_is_paced_when_it_returns_and_an_error_alone_is_not(self) -> None:
         self.outliers.record_outcome(self.server, AttemptOutcome.ERROR, False)
