--- a/lotuspick/protocol/rtsp.py
+++ b/lotuspick/protocol/rtsp.py
@@ -22,6 +22,7 @@
 MAX_TIME_LEFT_MS = 24 * 3_600_000
 MAX_DEADLINE_MS = 60_000  # a viewer that would wait longer is answered within this: nothing is kept for hours
 MAX_REASON_PHRASE = 120  # characters
+REQUIRED_PATH_FIELDS = ("home", "copies", "top")
 METHODS = frozenset({"SETUP", "TEARDOWN", "OPTIONS", "ANNOUNCE", "REDIRECT", "SET_PARAMETER"})
 
 SERVED = 200
@@ -160,9 +161,22 @@
         if not colon or not name:
             raise ProtocolError(f"P-Path has a part that is not name:value: {part[:40]!r}")
         fields[name] = value
+    for name in REQUIRED_PATH_FIELDS:
+        if name not in fields:
+            raise ProtocolError(f"P-Path has no {name}")
     return fields
 
 
+def _parse_title(message: Message) -> str:
+    """The title that the address names; checks that it and the description fit an edge server's message."""
+    title = message.address[len(BASE) :]
+    if not title:
+        raise ProtocolError("address names no title")
+    if len(message.body) + len(title) > MOST_BYTES - EDGE_MESSAGE_OVERHEAD:
+        raise ProtocolError("description is too long to be passed on")
+    return title
+
+
 def read_set_up(
     message: Message, now_us: int, terms: Terms, viewer: ViewerConnection | None = None
 ) -> SessionRequested:
@@ -179,15 +193,8 @@
     """
     if message.header("P-Kind") not in terms.classes:
         raise ProtocolError(f"P-Kind is unknown: {message.header('P-Kind')[:40]!r}")
-    title = message.address[len(BASE) :]
-    if not title:
-        raise ProtocolError("address names no title")
-    if len(message.body) + len(title) > MOST_BYTES - EDGE_MESSAGE_OVERHEAD:
-        raise ProtocolError("description is too long to be passed on")
+    title = _parse_title(message)
     fields = _parse_path(message.header("P-Path"))
-    for name in ("home", "copies", "top"):
-        if name not in fields:
-            raise ProtocolError(f"P-Path has no {name}")
     left_ms = min(whole(message.header("P-Time-Left"), "P-Time-Left", 0, MAX_TIME_LEFT_MS), MAX_DEADLINE_MS)
     common: dict[str, Any] = {
         "session": message.session,
@@ -224,16 +231,16 @@
 
 
 def response(
-    status: int, cseq: str, session: str = "", body: bytes = b"", gap_ms: int = 0, why: str = ""
+    status: int, cseq: str, session: str = "", body: bytes = b"", retry_after_ms: int = 0, reason: str = ""
 ) -> bytes:
-    """A response; ``why`` goes out as its reason phrase, ``gap_ms`` as the time to stay away."""
-    printable = "".join(character if " " <= character <= "~" else " " for character in why)
+    """A response; ``reason`` goes out as its reason phrase, ``retry_after_ms`` in a header of its own."""
+    printable = "".join(character if " " <= character <= "~" else " " for character in reason)
     phrase = " ".join(printable.split())[:MAX_REASON_PHRASE]
     headers = [("CSeq", cseq)]
     if session:
         headers.append(("Session", session))
-    if gap_ms > 0:
-        headers.append(("P-Gap-Ms", str(gap_ms)))
+    if retry_after_ms > 0:
+        headers.append(("P-Gap-Ms", str(retry_after_ms)))
     return _encode(f"{VERSION} {status} {phrase or REASONS[status]}", headers, body)
 
 
--- a/lotuspick/routing/message_handlers.py
+++ b/lotuspick/routing/message_handlers.py
@@ -7,9 +7,7 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
 from dataclasses import replace
-from typing import Any
 
 from lotuspick.core.events import (
     PROVES_NOT_EXECUTED,
@@ -71,27 +69,40 @@
         self.edge_servers, self.indeterminate = lifecycle.edge_servers, lifecycle.indeterminate
         self.session_classes, self.retry_after_ms = session_classes, retry_after_ms
         self.expired: list[tuple[str, SessionRequest]] = []
-        self._by_type: dict[type, Callable[[Any, int], list[Event]]] = {
-            SessionRequested: self._on_requested,
-            SessionCancelled: self._on_cancelled,
-            ViewerConnectionClosed: self._on_viewer_closed,
-            ViewerConnectionOpened: self._on_viewer_opened,
-            AttemptAnswered: self._on_answered,
-            EdgeServerReleased: self._on_released,
-            EdgeServerNotified: self._on_notified,
-            AttemptTerminated: self._on_attempt_terminated,
-            EdgeServerFailed: self._on_server_failed,
-            EndpointListChanged: self._on_endpoint_list,
-            HintReceived: self._on_hint,
-            TenantRatesUpdated: self._on_tenant_rates,
-            SessionRevoked: self._on_revoked,
-            LedgerCommitted: self._on_ledger_committed,
-            AttemptWritten: self._on_written,
-        }
-
-    def handle(self, message: InboundMessage, now: int) -> list[Event]:
+
+    def handle(self, message: InboundMessage, now: int) -> list[Event]:  # noqa: C901 - one case for each type
         """Carry out one message; returns the events for the decisions, in their order."""
-        return self._by_type[type(message)](message, now)
+        match message:
+            case EdgeServerNotified():
+                return self._on_notified(message)
+            case SessionRequested():
+                return self._on_requested(message, now)
+            case AttemptWritten():
+                return self._on_written(message)
+            case AttemptAnswered():
+                return self._on_answered(message, now)
+            case EdgeServerReleased():
+                return self._on_released(message, now)
+            case SessionCancelled():
+                return self._on_cancelled(message, now)
+            case ViewerConnectionOpened():
+                return self._on_viewer_opened(message, now)
+            case ViewerConnectionClosed():
+                return self._on_viewer_closed(message, now)
+            case AttemptTerminated():
+                return self._on_attempt_terminated(message, now)
+            case EdgeServerFailed():
+                return self._on_server_failed(message, now)
+            case EndpointListChanged():
+                return self._on_endpoint_list(message, now)
+            case SessionRevoked():
+                return self._on_revoked(message, now)
+            case LedgerCommitted():
+                return [ConstraintsChanged()]
+            case HintReceived():
+                return [message.hint]
+            case TenantRatesUpdated():
+                return [message.update]
 
     def take_expired(self) -> list[tuple[str, SessionRequest]]:
         """Requests whose deadline has passed since the last call, answered or not."""
@@ -273,10 +284,10 @@
             events.append(AttemptEnded(session, -1, server, outcome, True, 0, message.load_report))
         return events
 
-    def _on_notified(self, message: EdgeServerNotified, _now: int) -> list[Event]:
+    def _on_notified(self, message: EdgeServerNotified) -> list[Event]:
         return [SessionNotification(message.session, message.server, message.topic, message.value)]
 
-    def _on_written(self, message: AttemptWritten, _now: int) -> list[Event]:
+    def _on_written(self, message: AttemptWritten) -> list[Event]:
         entry = self._forwarded_entry(message.session, message.server)
         if entry is not None:
             entry.written_at_us = max(entry.written_at_us, message.written_at_us)
@@ -309,15 +320,6 @@
             )
         return [*events, message.update]
 
-    def _on_hint(self, message: HintReceived, _now: int) -> list[Event]:
-        return [message.hint]
-
-    def _on_tenant_rates(self, message: TenantRatesUpdated, _now: int) -> list[Event]:
-        return [message.update]
-
-    def _on_ledger_committed(self, _message: LedgerCommitted, _now: int) -> list[Event]:
-        return [ConstraintsChanged()]
-
 
 def _is_same_request(entry: SessionEntry, message: SessionRequested) -> bool:
     """Whether both ask for the same; the deadline counts from when a message came."""
--- a/lotuspick/transport/rtsp/rtsp_connection.py
+++ b/lotuspick/transport/rtsp/rtsp_connection.py
@@ -237,7 +237,7 @@
 
                 def renewed(error: str) -> None:
                     status = rtsp.FORBIDDEN if error else rtsp.SERVED
-                    self._write(rtsp.response(status, cseq, session, why=error))
+                    self._write(rtsp.response(status, cseq, session, reason=error))
 
                 self.server.renew(session, token, renewed)
             case _:
@@ -249,7 +249,7 @@
             session = message.session
         except ProtocolError:
             session = ""
-        self._write(rtsp.response(rtsp.BAD_REQUEST, cseq, session, why=error))
+        self._write(rtsp.response(rtsp.BAD_REQUEST, cseq, session, reason=error))
         self._apply_backpressure()
 
     # ---- writing ------------------------------------------------------------------------------------------
@@ -267,11 +267,13 @@
             reason: goes out as the reason phrase.
         """
         cseq = rtsp.CSEQ["SETUP"]
-        self._write(rtsp.response(rtsp.NO_BANDWIDTH, cseq, session, gap_ms=retry_after_ms, why=reason))
+        self._write(
+            rtsp.response(rtsp.NO_BANDWIDTH, cseq, session, retry_after_ms=retry_after_ms, reason=reason)
+        )
 
     def failed(self, session: str, reason: str = "") -> None:
         """Answer that the session failed, without a promise that it had no effect."""
-        self._write(rtsp.response(rtsp.FAILED, rtsp.CSEQ["SETUP"], session, why=reason))
+        self._write(rtsp.response(rtsp.FAILED, rtsp.CSEQ["SETUP"], session, reason=reason))
 
     def released(self, session: str, reason: TerminationReason) -> None:
         """Notify the viewer that a session which played is over."""
@@ -281,7 +283,7 @@
         """Answer with an error and close: the framing cannot be trusted any more."""
         if self.is_open:  # once for each connection
             log.info("viewer_input_malformed", extra={"error": reason})
-            self._write(rtsp.response(rtsp.BAD_REQUEST, "0", why=reason))
+            self._write(rtsp.response(rtsp.BAD_REQUEST, "0", reason=reason))
             self.close_after_flush()
             self.clearLineBuffer()
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -309,9 +309,9 @@
     return {
         "served": served,
         "served, no session": rtsp.response(rtsp.SERVED, "3"),
-        "refused, gap": rtsp.response(rtsp.NO_BANDWIDTH, "1", SESSION, gap_ms=1_500),
+        "refused, gap": rtsp.response(rtsp.NO_BANDWIDTH, "1", SESSION, retry_after_ms=1_500),
         "refused, reason": rtsp.response(
-            rtsp.NO_BANDWIDTH, "1", SESSION, gap_ms=20, why="token-expired\r\n x\u00e9"
+            rtsp.NO_BANDWIDTH, "1", SESSION, retry_after_ms=20, reason="token-expired\r\n x\u00e9"
         ),
         **{f"status {each}": rtsp.response(each, "7", SESSION) for each in statuses},
         **{f"over: {each.value}": rtsp.release(SESSION, each) for each in termination.TerminationReason},
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -155,7 +155,7 @@
             self.assertTrue(str(fault))
 
     def test_phrases_cannot_break_the_head(self) -> None:
-        text = rtsp.response(400, "1", ID, why="a\r\nSession: other\x00\u20ac")
+        text = rtsp.response(400, "1", ID, reason="a\r\nSession: other\x00\u20ac")
         self.assertEqual(text.count(b"\r\n"), 5)
         self.assertTrue(text.startswith(b"RTSP/1.0 400 a Session: other"))
 
