--- a/lotuspick/lab/seats/cost.py
+++ b/lotuspick/lab/seats/cost.py
@@ -15,7 +15,7 @@
 from lotuspick.entitlement.model import Seat
 from lotuspick.entitlement.tokens import PublicKey, TokenVerifier, sign
 from lotuspick.lab.seats import trial
-from lotuspick.transport.storage.durable_store import GroupCommit
+from lotuspick.transport.storage.group_commit import GroupCommit
 from lotuspick.transport.storage.seat_store import SeatStore
 
 Found = tuple[dict[str, float], dict[str, list[float]]]
--- a/lotuspick/program/commands/seats.py
+++ b/lotuspick/program/commands/seats.py
@@ -25,7 +25,7 @@
 from lotuspick.entitlement.model import Seat, TokenError
 from lotuspick.entitlement.tokens import PublicKey, TokenVerifier, sign
 from lotuspick.program.entitlement import EntitlementError, read_proofs, read_revoked
-from lotuspick.transport.storage.durable_store import StoreError
+from lotuspick.transport.storage.errors import StoreError
 from lotuspick.transport.storage.key_folder import KeyFolder, KeyFolderError
 from lotuspick.transport.storage.seat_store import read
 
--- a/lotuspick/program/entitlement.py
+++ b/lotuspick/program/entitlement.py
@@ -16,7 +16,8 @@
 from lotuspick.routing.messages import InboundMessage, LedgerCommitted, SessionRevoked
 from lotuspick.routing.termination import TerminationReason
 from lotuspick.transport.sockets import wall_s
-from lotuspick.transport.storage.durable_store import Done, GroupCommit, StoreError
+from lotuspick.transport.storage.errors import StoreError
+from lotuspick.transport.storage.group_commit import Done, GroupCommit
 from lotuspick.transport.storage.key_folder import KeyFolder, KeyFolderError
 from lotuspick.transport.storage.seat_store import SeatStore
 
--- a/lotuspick/program/membership.py
+++ b/lotuspick/program/membership.py
@@ -21,7 +21,9 @@
 from lotuspick.transport.control_port import ControlPort, ControlPortError
 from lotuspick.transport.peers.peer_connections import Peers
 from lotuspick.transport.peers.state_machine_driver import Driver, awake_us
-from lotuspick.transport.storage.durable_store import Done, GroupCommit, StateMachineStore, StoreError
+from lotuspick.transport.storage.durable_store import StateMachineStore
+from lotuspick.transport.storage.errors import StoreError
+from lotuspick.transport.storage.group_commit import Done, GroupCommit
 
 log = logging.getLogger(__name__)
 
--- a/lotuspick/transport/storage/durable_store.py
+++ b/lotuspick/transport/storage/durable_store.py
@@ -1,5 +1,5 @@
-"""What lasts: an LMDB environment with checked records and one owner, group commit off the reactor's thread, and the
-store of the parts that are written in the step form.
+"""What lasts: an LMDB environment with checked records and one owner, and the store of the parts that are written in
+the step form.
 
 LMDB writes pages anew and turns to them with one small write, so that a process killed at any point leaves the last
 commit; each record carries a checksum all the same, against what a disk does to it later.
@@ -8,26 +8,19 @@
 from __future__ import annotations
 
 import fcntl
-import queue
-import threading
 from collections.abc import Callable, Iterable, Iterator
 from contextlib import contextmanager
-from dataclasses import dataclass
 from pathlib import Path
-from typing import Any, Protocol
 
 import lmdb
 from xxhash import xxh3_64_digest
 
-BATCH = 512  # records of one commit at most
+from lotuspick.transport.storage.errors import StoreError
+
 SUM = 8  # bytes of checksum before each record
 META = b"meta"
 
 
-class StoreError(Exception):
-    """The store cannot be used, or did not take a record; the text says why."""
-
-
 def add_checksum(key: bytes, body: bytes) -> bytes:
     """A record as it lies on disk: its checksum, over its key as well, and its body."""
     return xxh3_64_digest(key + b"\0" + body) + body
@@ -178,89 +171,3 @@
 
     def close(self) -> None:
         self.env.close()
-
-
-class Store(Protocol):
-    """What group commit writes to."""
-
-    def write(self, records: Iterable[Any], drop: Iterable[str] = ()) -> None:
-        """Put records in and drop keys, all or nothing; raises :class:`StoreError`."""
-
-
-Done = Callable[[str], None]
-"""Called with what was wrong; empty: it lasts."""
-
-
-@dataclass(frozen=True, slots=True)
-class _Due:
-    records: tuple[Any, ...]
-    drop: tuple[str, ...]
-    done: Done
-
-
-def _call(heard: list[tuple[Done, str]]) -> None:
-    for done, fault in heard:
-        done(fault)
-
-
-class GroupCommit:
-    """Writes on a thread of its own: whatever waits when a commit ends goes into the next one. ``deliver`` is called
-    on that thread after each commit, with all that are to hear of it, and brings them to the reactor."""
-
-    def __init__(
-        self,
-        store: Store,
-        deliver: Callable[[list[tuple[Done, str]]], None] = _call,
-        batch: int = BATCH,
-        name: str = "seats",
-    ) -> None:
-        self.store, self.deliver, self.batch = store, deliver, batch
-        self.commits = 0
-        self._waiting: queue.SimpleQueue[_Due | None] = queue.SimpleQueue()
-        self._thread = threading.Thread(target=self._run, name=name, daemon=True)
-        self._thread.start()
-
-    def submit(self, record: Any, done: Done) -> None:
-        """Have a record written; the last of several on one key wins."""
-        self._waiting.put(_Due((record,), (), done))
-
-    def submit_all(self, records: Iterable[Any], done: Done) -> None:
-        """Have records written, all or nothing."""
-        self._waiting.put(_Due(tuple(records), (), done))
-
-    def drop(self, keys: Iterable[str], done: Done) -> None:
-        """Have records dropped."""
-        self._waiting.put(_Due((), tuple(keys), done))
-
-    def close(self) -> None:
-        """Write what waits, and end."""
-        self._waiting.put(None)
-        self._thread.join()
-
-    def _run(self) -> None:
-        ending = False
-        while not ending:
-            first = self._waiting.get()
-            due: list[_Due] = []
-            ending = first is None
-            if first is not None:
-                due.append(first)
-            while not ending and len(due) < self.batch and not self._waiting.empty():
-                more: Any = self._waiting.get()
-                ending = more is None
-                if more is not None:
-                    due.append(more)
-            if due:
-                self._commit(due)
-
-    def _commit(self, due: list[_Due]) -> None:
-        fault = ""
-        try:
-            self.store.write(
-                [record for each in due for record in each.records],
-                [key for each in due for key in each.drop],
-            )
-            self.commits += 1
-        except StoreError as error:
-            fault = str(error)
-        self.deliver([(each.done, fault) for each in due])
--- a/tests/test_seat_store.py
+++ b/tests/test_seat_store.py
@@ -13,7 +13,8 @@
 from scenario import ROOT
 
 from lotuspick.entitlement.ledger import Ledger, Record, State, Verdict
-from lotuspick.transport.storage.durable_store import GroupCommit, StoreError
+from lotuspick.transport.storage.errors import StoreError
+from lotuspick.transport.storage.group_commit import GroupCommit
 from lotuspick.transport.storage.seat_store import SeatStore, read
 
 WRITER = """
--- a/tests/test_seats_live.py
+++ b/tests/test_seats_live.py
@@ -26,7 +26,7 @@
 from lotuspick.plugin import Answer, Plugin, Refused, Released, TerminationReason
 from lotuspick.program.configuration import SeatsConfig
 from lotuspick.program.entitlement import Entitlement
-from lotuspick.transport.storage.durable_store import StoreError
+from lotuspick.transport.storage.errors import StoreError
 from lotuspick.transport.storage.key_folder import KeyFolder
 from lotuspick.transport.storage.seat_store import SeatStore
 
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -30,7 +30,9 @@
     WriteCommitted,
 )
 from lotuspick.transport.peers.state_machine_driver import Driver
-from lotuspick.transport.storage.durable_store import GroupCommit, StateMachineStore, StoreError
+from lotuspick.transport.storage.durable_store import StateMachineStore
+from lotuspick.transport.storage.errors import StoreError
+from lotuspick.transport.storage.group_commit import GroupCommit
 
 SECOND = 1_000_000
 WRITER = """
