--- a/lotuspick/program/commands/seats.py
+++ b/lotuspick/program/commands/seats.py
@@ -47,7 +47,7 @@
     """The newest key that signs."""
     keys = [key for key in folder.load().values() if not key.withdrawn and key.until_s > now_s]
     if not keys:
-        raise KeyFolderError(f"{folder.public}: no key signs; lotuspick keys make")
+        raise KeyFolderError(f"{folder.public_keys_file}: no key signs; lotuspick keys make")
     return keys[-1]
 
 
--- a/lotuspick/program/entitlement.py
+++ b/lotuspick/program/entitlement.py
@@ -17,7 +17,7 @@
 from lotuspick.routing.termination import TerminationReason
 from lotuspick.transport.sockets import wall_s
 from lotuspick.transport.storage.errors import StoreError
-from lotuspick.transport.storage.group_commit import Done, GroupCommit
+from lotuspick.transport.storage.group_commit import CommitCallback, GroupCommit
 from lotuspick.transport.storage.key_folder import KeyFolder, KeyFolderError
 from lotuspick.transport.storage.seat_store import SeatStore
 
@@ -66,13 +66,13 @@
 
     # ---- the guide's journal ------------------------------------------------------------------------------
 
-    def submit(self, record: Record, done: Done) -> None:
+    def submit(self, record: Record, done: CommitCallback) -> None:
         self.commits.submit(record, done)
 
-    def drop(self, seats: list[str], done: Done) -> None:
+    def drop(self, seats: list[str], done: CommitCallback) -> None:
         self.commits.drop(seats, done)
 
-    def _lasting(self, heard: list[tuple[Done, str]]) -> None:
+    def _lasting(self, heard: list[tuple[CommitCallback, str]]) -> None:
         """On the thread of the commits."""
 
         def tell() -> None:
--- a/lotuspick/program/membership.py
+++ b/lotuspick/program/membership.py
@@ -23,7 +23,7 @@
 from lotuspick.transport.peers.state_machine_driver import Driver, awake_us
 from lotuspick.transport.storage.durable_store import StateMachineStore
 from lotuspick.transport.storage.errors import StoreError
-from lotuspick.transport.storage.group_commit import Done, GroupCommit
+from lotuspick.transport.storage.group_commit import CommitCallback, GroupCommit
 
 log = logging.getLogger(__name__)
 
@@ -82,7 +82,7 @@
     def _send(self, effect: SendMessage) -> None:
         self.link.send(effect.peer, effect.message, effect.reliable)
 
-    def _lasting(self, heard: list[tuple[Done, str]]) -> None:
+    def _lasting(self, heard: list[tuple[CommitCallback, str]]) -> None:
         """On the thread of the commits."""
 
         def tell() -> None:
--- a/lotuspick/transport/storage/group_commit.py
+++ b/lotuspick/transport/storage/group_commit.py
@@ -10,30 +10,30 @@
 
 from lotuspick.transport.storage.errors import StoreError
 
-BATCH = 512  # records of one commit at most
+MAX_BATCH = 512  # records of one commit at most
 
 
-class Store(Protocol):
+class RecordStore(Protocol):
     """What group commit writes to."""
 
-    def write(self, records: Iterable[Any], drop: Iterable[str] = ()) -> None:
+    def write(self, records: Iterable[Any], dropped_keys: Iterable[str] = ()) -> None:
         """Put records in and drop keys, all or nothing; raises :class:`StoreError`."""
 
 
-Done = Callable[[str], None]
+CommitCallback = Callable[[str], None]
 """Called with what was wrong; empty: it lasts."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Due:
+class _PendingWrite:
     records: tuple[Any, ...]
-    drop: tuple[str, ...]
-    done: Done
+    dropped_keys: tuple[str, ...]
+    on_committed: CommitCallback
 
 
-def _call(heard: list[tuple[Done, str]]) -> None:
-    for done, fault in heard:
-        done(fault)
+def _run_callbacks(reports: list[tuple[CommitCallback, str]]) -> None:
+    for on_committed, error_text in reports:
+        on_committed(error_text)
 
 
 class GroupCommit:
@@ -42,58 +42,58 @@
 
     def __init__(
         self,
-        store: Store,
-        deliver: Callable[[list[tuple[Done, str]]], None] = _call,
-        batch: int = BATCH,
+        store: RecordStore,
+        deliver: Callable[[list[tuple[CommitCallback, str]]], None] = _run_callbacks,
+        max_batch: int = MAX_BATCH,
         name: str = "seats",
     ) -> None:
-        self.store, self.deliver, self.batch = store, deliver, batch
+        self.store, self.deliver, self.max_batch = store, deliver, max_batch
         self.commits = 0
-        self._waiting: queue.SimpleQueue[_Due | None] = queue.SimpleQueue()
+        self._queue: queue.SimpleQueue[_PendingWrite | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
         self._thread.start()
 
-    def submit(self, record: Any, done: Done) -> None:
+    def submit(self, record: Any, on_committed: CommitCallback) -> None:
         """Have a record written; the last of several on one key wins."""
-        self._waiting.put(_Due((record,), (), done))
+        self._queue.put(_PendingWrite((record,), (), on_committed))
 
-    def submit_all(self, records: Iterable[Any], done: Done) -> None:
+    def submit_all(self, records: Iterable[Any], on_committed: CommitCallback) -> None:
         """Have records written, all or nothing."""
-        self._waiting.put(_Due(tuple(records), (), done))
+        self._queue.put(_PendingWrite(tuple(records), (), on_committed))
 
-    def drop(self, keys: Iterable[str], done: Done) -> None:
+    def drop(self, keys: Iterable[str], on_committed: CommitCallback) -> None:
         """Have records dropped."""
-        self._waiting.put(_Due((), tuple(keys), done))
+        self._queue.put(_PendingWrite((), tuple(keys), on_committed))
 
     def close(self) -> None:
         """Write what waits, and end."""
-        self._waiting.put(None)
+        self._queue.put(None)
         self._thread.join()
 
     def _run(self) -> None:
-        ending = False
-        while not ending:
-            first = self._waiting.get()
-            due: list[_Due] = []
-            ending = first is None
+        closing = False
+        while not closing:
+            first = self._queue.get()
+            pending: list[_PendingWrite] = []
+            closing = first is None
             if first is not None:
-                due.append(first)
-            while not ending and len(due) < self.batch and not self._waiting.empty():
-                more: Any = self._waiting.get()
-                ending = more is None
+                pending.append(first)
+            while not closing and len(pending) < self.max_batch and not self._queue.empty():
+                more: Any = self._queue.get()
+                closing = more is None
                 if more is not None:
-                    due.append(more)
-            if due:
-                self._commit(due)
+                    pending.append(more)
+            if pending:
+                self._commit(pending)
 
-    def _commit(self, due: list[_Due]) -> None:
-        fault = ""
+    def _commit(self, pending: list[_PendingWrite]) -> None:
+        error_text = ""
         try:
             self.store.write(
-                [record for each in due for record in each.records],
-                [key for each in due for key in each.drop],
+                [record for write in pending for record in write.records],
+                [key for write in pending for key in write.dropped_keys],
             )
             self.commits += 1
         except StoreError as error:
-            fault = str(error)
-        self.deliver([(each.done, fault) for each in due])
+            error_text = str(error)
+        self.deliver([(write.on_committed, error_text) for write in pending])
--- a/lotuspick/transport/storage/key_folder.py
+++ b/lotuspick/transport/storage/key_folder.py
@@ -24,7 +24,7 @@
 
 from lotuspick.entitlement.tokens import PublicKey
 
-MOST_KEYS = 64
+MAX_KEYS = 64
 
 
 class KeyFolderError(Exception):
@@ -35,21 +35,21 @@
     """The keys of one issuer."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.public = folder, folder / "keys.json"
+        self.folder, self.public_keys_file = folder, folder / "keys.json"
 
     def load(self) -> dict[str, PublicKey]:
         """The public keys by id, oldest first. Raises :class:`KeyFolderError`."""
         try:
-            listed = json.loads(self.public.read_text(encoding="utf-8"))["keys"]
-            keys = [_key(each) for each in listed]
+            jwks = json.loads(self.public_keys_file.read_text(encoding="utf-8"))["keys"]
+            keys = [_key_from_jwk(each) for each in jwks]
         except FileNotFoundError:
             return {}
         except OSError as error:
-            raise KeyFolderError(f"{self.public}: {error.strerror}") from None
+            raise KeyFolderError(f"{self.public_keys_file}: {error.strerror}") from None
         except (ValueError, KeyError, TypeError) as error:
-            raise KeyFolderError(f"{self.public}: not a set of Ed25519 keys: {error}") from None
-        if len({key.kid for key in keys}) < len(keys) or len(keys) > MOST_KEYS:
-            raise KeyFolderError(f"{self.public}: an id twice, or more than {MOST_KEYS} keys")
+            raise KeyFolderError(f"{self.public_keys_file}: not a set of Ed25519 keys: {error}") from None
+        if len({key.kid for key in keys}) < len(keys) or len(keys) > MAX_KEYS:
+            raise KeyFolderError(f"{self.public_keys_file}: an id twice, or more than {MAX_KEYS} keys")
         return {key.kid: key for key in keys}
 
     def private(self, kid: str) -> Ed25519PrivateKey:
@@ -75,31 +75,31 @@
         which were made in the meantime elsewhere are still good."""
         keys = self.load()
         private = Ed25519PrivateKey.generate()
-        made = PublicKey(f"k{now_s:x}-{secrets.token_hex(2)}", private.public_key(), now_s)
+        key = PublicKey(f"k{now_s:x}-{secrets.token_hex(2)}", private.public_key(), now_s)
         pem = private.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption())
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-        path = self.folder / f"{made.kid}.pem"
+        path = self.folder / f"{key.kid}.pem"
         with os.fdopen(os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "wb") as file:
             file.write(pem)
         ended = [replace(key, until_s=min(key.until_s, now_s + overlap_s)) for key in keys.values()]
-        self._write([*ended, made])
-        return made
+        self._write([*ended, key])
+        return key
 
     def withdraw(self, kid: str) -> None:
         """Nothing that this key signed is good any more. Its private key is removed. Raises :class:`KeyFolderError`."""
         keys = self.load()
         if kid not in keys:
-            raise KeyFolderError(f"{self.public}: no key {kid}")
+            raise KeyFolderError(f"{self.public_keys_file}: no key {kid}")
         keys[kid] = replace(keys[kid], withdrawn=True)
         self._write(list(keys.values()))
         (self.folder / f"{kid}.pem").unlink(missing_ok=True)
 
     def _write(self, keys: list[PublicKey]) -> None:
-        beside = self.public.with_suffix(".new")
-        beside.write_text(
+        replacement = self.public_keys_file.with_suffix(".new")
+        replacement.write_text(
             json.dumps({"keys": [_jwk(key) for key in keys]}, indent=1) + "\n", encoding="utf-8"
         )
-        beside.replace(self.public)
+        replacement.replace(self.public_keys_file)
 
 
 def _jwk(key: PublicKey) -> dict[str, Any]:
@@ -116,14 +116,14 @@
     }
 
 
-def _key(told: dict[str, Any]) -> PublicKey:
-    if (told["kty"], told["crv"]) != ("OKP", "Ed25519"):
-        raise ValueError(f"key {told['kid']!r:.40} is of another kind")
-    raw = base64.urlsafe_b64decode(told["x"] + "=" * (-len(told["x"]) % 4))
+def _key_from_jwk(jwk: dict[str, Any]) -> PublicKey:
+    if (jwk["kty"], jwk["crv"]) != ("OKP", "Ed25519"):
+        raise ValueError(f"key {jwk['kid']!r:.40} is of another kind")
+    raw = base64.urlsafe_b64decode(jwk["x"] + "=" * (-len(jwk["x"]) % 4))
     return PublicKey(
-        str(told["kid"]),
+        str(jwk["kid"]),
         Ed25519PublicKey.from_public_bytes(raw),
-        int(told["from"]),
-        int(told["until"]),
-        told["withdrawn"] is True,
+        int(jwk["from"]),
+        int(jwk["until"]),
+        jwk["withdrawn"] is True,
     )
--- a/tests/test_seat_store.py
+++ b/tests/test_seat_store.py
@@ -28,7 +28,7 @@
     left -= 1
     if left == 0:
         os.kill(os.getpid(), signal.SIGKILL)
-store, ledger = SeatStore(Path(sys.argv[1]), fault=fault), Ledger()
+store, ledger = SeatStore(Path(sys.argv[1]), fault_point=fault), Ledger()
 for at in range(5):
     for record in (ledger.reserve(0, f"s{at}", f"q{at}", "v", 0, 100)[1], ledger.mark_executed(0, f"q{at}")):
         store.write([record])
@@ -89,18 +89,20 @@
     def test_a_spoilt_record_and_a_foreign_format_are_named(self) -> None:
         store = self.open()
         store.write([Record("s1")])
-        with store.env.env.begin(write=True, db=store.env._table) as change:
+        with store.environment.lmdb_environment.begin(
+            write=True, db=store.environment.records_table
+        ) as change:
             change.put(b"s1", change.get(b"s1")[:-1] + b"!")
         with self.assertRaisesRegex(StoreError, "seat s1: the record is spoilt"):
             store.load()
-        with store.env.env.begin(write=True, db=store.env._meta) as change:
+        with store.environment.lmdb_environment.begin(write=True, db=store.environment.meta_table) as change:
             change.put(b"format", b"7")
         store.close()
         with self.assertRaisesRegex(StoreError, "format 7, not 1"):
             SeatStore(self.path)
 
     def test_a_full_store_refuses_whole_batches_and_takes_more_once_seats_are_dropped(self) -> None:
-        store = self.open(most_mib=1)
+        store = self.open(max_mib=1)
         taken = 0
         with self.assertRaisesRegex(StoreError, "full"):
             while True:
@@ -108,7 +110,7 @@
                 taken += 200
         self.assertEqual(len(store.load()), taken)
         for at in range(0, taken, 100):
-            store.write([], drop=[f"s{at + more}" for more in range(100)])
+            store.write([], dropped_keys=[f"s{at + more}" for more in range(100)])
         store.write([Record(f"n{at}", viewer="v" * 100) for at in range(200)])
         self.assertEqual(len(store.load()), 200)
 
@@ -119,7 +121,7 @@
 
     def test_what_waits_goes_into_one_commit_and_each_hears_of_it(self) -> None:
         store, gate, heard = self.open(), threading.Event(), list[str]()
-        store.env.fault = lambda point: gate.wait(20) and None if point == "begin" else None
+        store.environment.fault_point = lambda point: gate.wait(20) and None if point == "begin" else None
         group = GroupCommit(store)
         for at in range(300):
             group.submit(Record(f"s{at}", State.RESERVED), heard.append)
@@ -139,7 +141,7 @@
                     else OSError(28, "No space left on device")
                 )
 
-        store.env.fault = fault
+        store.environment.fault_point = fault
         group = GroupCommit(store)
         group.submit(Record("s1"), heard.append)
         group.close()
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -45,7 +45,7 @@
     left -= 1
     if left == 0:
         os.kill(os.getpid(), signal.SIGKILL)
-store = StateMachineStore(Path(sys.argv[1]), fault=fault)
+store = StateMachineStore(Path(sys.argv[1]), fault_point=fault)
 for at in range(4):
     store.write([("a", b"%d" % at), ("b", b"%d" % at)])
     print(at, flush=True)
@@ -291,11 +291,13 @@
         store.write([("life", b"7")])
         with self.assertRaisesRegex(StoreError, "another process"):
             StateMachineStore(self.path / "s")
-        with store.env.env.begin(write=True, db=store.env._table) as change:
+        with store.environment.lmdb_environment.begin(
+            write=True, db=store.environment.records_table
+        ) as change:
             change.put(b"life", change.get(b"life")[:-1] + b"8")
         with self.assertRaisesRegex(StoreError, "life: the record is spoilt"):
             store.load()
-        with store.env.env.begin(write=True, db=store.env._meta) as change:
+        with store.environment.lmdb_environment.begin(write=True, db=store.environment.meta_table) as change:
             change.put(b"format", b"steps 2")
         store.close()
         with self.assertRaisesRegex(StoreError, "format steps 2, not steps 1"):
