--- a/lotuspick/transport/storage/durable_store.py
+++ b/lotuspick/transport/storage/durable_store.py
@@ -1,8 +1,8 @@
-"""What lasts: an LMDB environment with checked records and one owner, and the store of the parts that are written in
-the step form.
+"""Durable records: an LMDB environment with one owner and checksums, and the store of state machines.
 
-LMDB writes pages anew and turns to them with one small write, so that a process killed at any point leaves the last
-commit; each record carries a checksum all the same, against what a disk does to it later.
+LMDB writes changed pages to new places and switches to them with one small write, so that a process killed at
+any point leaves the last commit intact. Each record carries a checksum nevertheless, against later damage on
+the disk. Commits block; :mod:`lotuspick.transport.storage.group_commit` keeps them off the reactor's thread.
 """
 
 from __future__ import annotations
@@ -11,51 +11,97 @@
 from collections.abc import Callable, Iterable, Iterator
 from contextlib import contextmanager
 from pathlib import Path
+from typing import IO
 
 import lmdb
 from xxhash import xxh3_64_digest
 
-from lotuspick.transport.storage.errors import StoreError
+from lotuspick.transport.storage.errors import (
+    CorruptRecordError,
+    StoreAccessError,
+    StoreError,
+    StoreFormatError,
+    StoreFullError,
+    StoreLockedError,
+    StoreMissingError,
+    StoreTruncatedError,
+)
 
-CHECKSUM_BYTES = 8  # bytes of checksum before each record
-META_TABLE = b"meta"
+CHECKSUM_BYTES = 8  # before the body of each record
+BYTES_PER_MIB = 2**20
+DELETION_SIZE_FACTOR = 2  # deleting copies the pages that it touches, up to all of them
+TABLES_PER_ENVIRONMENT = 2  # metadata and records
+FOLDER_MODE = 0o700
+DATA_FILE = "data.mdb"  # LMDB's own name
+OWNER_FILE = "owner"
+META_TABLE, FORMAT_KEY = b"meta", b"format"
+UNKNOWN_FORMAT = b"none"
 STATE_MACHINE_TABLE, STATE_MACHINE_FORMAT = b"steps", b"steps 1"
+STATE_MACHINE_MAX_MIB = 16
+
+FaultPoint = Callable[[str], None]
+"""Called with the name of each point at which a process may die; tests kill or raise there."""
+
+
+def no_fault(_point: str) -> None:
+    """Let the process go on at a fault point."""
 
 
 def add_checksum(key: bytes, body: bytes) -> bytes:
-    """A record as it lies on disk: its checksum, over its key as well, and its body."""
+    """Return a record as it is stored: a checksum of its key and body, then the body."""
     return xxh3_64_digest(key + b"\0" + body) + body
 
 
-def verify_checksum(what: str, key: bytes, raw: bytes) -> bytes:
-    """The body of a record. Raises :class:`StoreError`, naming ``what``, for one that is not as it was written."""
-    if (
-        len(raw) <= CHECKSUM_BYTES
-        or xxh3_64_digest(key + b"\0" + raw[CHECKSUM_BYTES:]) != raw[:CHECKSUM_BYTES]
-    ):
-        raise StoreError(f"{what}: the record is spoilt")
-    return raw[CHECKSUM_BYTES:]
+def verify_checksum(record_name: str, key: bytes, stored: bytes) -> bytes:
+    """Return the body of a stored record.
+
+    Args:
+        record_name: names the record in the error.
+        key: its key.
+        stored: what :func:`add_checksum` gave.
+
+    Raises:
+        CorruptRecordError: the record differs from what was written.
+    """
+    checksum, body = stored[:CHECKSUM_BYTES], stored[CHECKSUM_BYTES:]
+    if not body or xxh3_64_digest(key + b"\0" + body) != checksum:
+        raise CorruptRecordError(record_name)
+    return body
 
 
 def _check_not_truncated(path: Path) -> None:
-    """Guards against a file that was cut off: a page that is not there would end the process by a signal."""
-    data = path / "data.mdb"
-    if data.exists() and data.stat().st_size:
-        probe = lmdb.open(str(path), readonly=True, lock=False, max_dbs=2)
-        needed_bytes = (probe.info()["last_pgno"] + 1) * probe.stat()["psize"]
-        probe.close()
-        if data.stat().st_size < needed_bytes:
-            raise StoreError(f"{data}: cut off at {data.stat().st_size} of {needed_bytes} bytes")
+    """Guard against a data file that was cut off: reading a missing page would kill the process."""
+    data_file = path / DATA_FILE
+    if not data_file.exists() or not data_file.stat().st_size:
+        return
+    probe = lmdb.open(str(path), readonly=True, lock=False, max_dbs=TABLES_PER_ENVIRONMENT)
+    needed_bytes = (probe.info()["last_pgno"] + 1) * probe.stat()["psize"]
+    probe.close()
+    found_bytes = data_file.stat().st_size
+    if found_bytes < needed_bytes:
+        raise StoreTruncatedError(data_file, found_bytes, needed_bytes)
 
 
 def _check_format(path: Path, found: bytes, expected: bytes) -> None:
     if found != expected:
-        raise StoreError(f"{path}: format {found.decode(errors='replace')[:20]}, not {expected.decode()}")
+        raise StoreFormatError(path, found, expected)
+
+
+def _acquire_ownership(path: Path) -> IO[str]:
+    """Create the folder if need be and lock its owner file; the lock is held while the file is open."""
+    try:
+        path.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
+        owner_file = (path / OWNER_FILE).open("w")
+        fcntl.flock(owner_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+    except BlockingIOError as error:
+        raise StoreLockedError(path) from error
+    except OSError as error:
+        raise StoreAccessError(path, error.strerror) from error
+    return owner_file
 
 
 class Environment:
-    """One folder with the records of one table. ``max_mib`` bounds its size; ``fault_point`` is called at each point at
-    which a process may die."""
+    """One folder with the records of one table, owned by one process."""
 
     def __init__(
         self,
@@ -63,53 +109,76 @@
         table: bytes,
         format_version: bytes,
         max_mib: int,
-        fault_point: Callable[[str], None] = lambda point: None,
+        fault_point: FaultPoint = no_fault,
         sync: bool = True,
     ) -> None:
-        self.path, self.fault_point, self.max_bytes = path, fault_point, max_mib * 2**20
-        try:
-            path.mkdir(mode=0o700, parents=True, exist_ok=True)
-            self._owner_file = (path / "owner").open("w")
-            fcntl.flock(self._owner_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except BlockingIOError:
-            raise StoreError(f"{path}: another process has it open") from None
-        except OSError as error:
-            raise StoreError(f"{path}: {error.strerror}") from None
+        """Open the environment; create it where there is none.
+
+        Args:
+            path: the folder.
+            table: name of the table.
+            format_version: of the records; written into a new environment, checked in an existing one.
+            max_mib: bound on the size of the data.
+            fault_point: see :data:`FaultPoint`.
+            sync: whether a commit waits for the disk; False only where nothing has to survive.
+
+        Raises:
+            StoreError: the environment cannot be used; the subtype says why.
+        """
+        self.path, self.fault_point = path, fault_point
+        self.max_bytes = max_mib * BYTES_PER_MIB
+        self._owner_file = _acquire_ownership(path)
         try:
-            _check_not_truncated(path)
-            self.lmdb_environment = lmdb.open(
-                str(path), map_size=self.max_bytes, max_dbs=2, sync=sync, metasync=sync
-            )
-            self.meta_table, self.records_table = (
-                self.lmdb_environment.open_db(META_TABLE),
-                self.lmdb_environment.open_db(table),
-            )
-            with self.lmdb_environment.begin(write=True) as transaction:
-                found = transaction.get(b"format", db=self.meta_table)
-                if found is None:
-                    transaction.put(b"format", format_version, db=self.meta_table)
-                else:
-                    _check_format(path, found, format_version)
+            self._open(table, format_version, sync)
         except lmdb.Error as error:
             self._owner_file.close()
-            raise StoreError(f"{path}: {error}") from None
+            raise StoreAccessError(path, error) from error
         except StoreError:
             self._owner_file.close()
             raise
 
+    def _open(self, table: bytes, format_version: bytes, sync: bool) -> None:
+        _check_not_truncated(self.path)
+        self.lmdb_environment = lmdb.open(
+            str(self.path),
+            map_size=self.max_bytes,
+            max_dbs=TABLES_PER_ENVIRONMENT,
+            sync=sync,
+            metasync=sync,
+        )
+        self.meta_table = self.lmdb_environment.open_db(META_TABLE)
+        self.records_table = self.lmdb_environment.open_db(table)
+        with self.lmdb_environment.begin(write=True) as transaction:
+            found = transaction.get(FORMAT_KEY, db=self.meta_table)
+            if found is None:
+                transaction.put(FORMAT_KEY, format_version, db=self.meta_table)
+            else:
+                _check_format(self.path, found, format_version)
+
     def rows(self) -> list[tuple[bytes, bytes]]:
-        """All records by key, as they lie there."""
+        """All records with their keys, in the order of keys, as they are stored."""
         with self.lmdb_environment.begin(db=self.records_table, buffers=False) as transaction:
             return list(transaction.cursor())
 
     def commit(self, rows: Iterable[tuple[bytes, bytes]], dropped_keys: Iterable[bytes] = ()) -> None:
-        """Put records in and drop others, all or nothing, and return when it lasts; of one key the last wins. Raises
-        :class:`StoreError`. Dropping copies the pages that it touches, up to all of them, so a full store may go to
-        twice its bound for it; what is freed is used again."""
+        """Write records and delete others, all or nothing; returns when the commit is durable.
+
+        Deleting needs space of its own, so a full environment may grow to twice its bound meanwhile; what it
+        frees is used again.
+
+        Args:
+            rows: keys and records; of one key the last wins.
+            dropped_keys: keys to delete, before the records are written.
+
+        Raises:
+            StoreFullError: the records do not fit.
+            StoreAccessError: the disk or LMDB failed.
+        """
         dropped_keys = list(dropped_keys)
+        size_factor = DELETION_SIZE_FACTOR if dropped_keys else 1
         try:
             self.fault_point("begin")
-            self.lmdb_environment.set_mapsize(self.max_bytes * (2 if dropped_keys else 1))
+            self.lmdb_environment.set_mapsize(self.max_bytes * size_factor)
             with self.lmdb_environment.begin(write=True, db=self.records_table) as transaction:
                 for key in dropped_keys:
                     transaction.delete(key)
@@ -117,66 +186,86 @@
                     transaction.put(key, row)
                     self.fault_point("put")
             self.fault_point("committed")
-        except lmdb.MapFullError:
-            raise StoreError(f"{self.path}: full") from None
+        except lmdb.MapFullError as error:
+            raise StoreFullError(self.path) from error
         except (lmdb.Error, OSError) as error:
-            raise StoreError(f"{self.path}: {error}") from None
+            raise StoreAccessError(self.path, error) from error
 
     def close(self) -> None:
+        """Close the environment and give up its ownership."""
         self.lmdb_environment.close()
         self._owner_file.close()
 
 
 @contextmanager
 def read_only(
-    path: Path, table: bytes, format_version: bytes, what: str
+    path: Path, table: bytes, format_version: bytes, description: str
 ) -> Iterator[Iterable[tuple[bytes, bytes]]]:
-    """All records of a store, whether a process has it open or not. Raises :class:`StoreError`, naming ``what`` is not
-    there where nothing is."""
-    if not (path / "data.mdb").exists():
-        raise StoreError(f"{path}: no {what}")
+    """Read all records of an environment, whether or not a process owns it.
+
+    Args:
+        path: the folder.
+        table: name of the table.
+        format_version: the expected format.
+        description: what the store is called in the error where there is none.
+
+    Yields:
+        Keys and records as they are stored.
+
+    Raises:
+        StoreError: the environment cannot be read; the subtype says why.
+    """
+    if not (path / DATA_FILE).exists():
+        raise StoreMissingError(path, description)
     try:
         _check_not_truncated(path)
-        env = lmdb.open(str(path), readonly=True, max_dbs=2)
+        environment = lmdb.open(str(path), readonly=True, max_dbs=TABLES_PER_ENVIRONMENT)
         try:
-            with env.begin() as transaction:
-                meta, rows = (
-                    env.open_db(META_TABLE, transaction, create=False),
-                    env.open_db(table, transaction, create=False),
-                )
-                _check_format(path, transaction.get(b"format", db=meta) or b"none", format_version)
-                yield transaction.cursor(db=rows)
+            with environment.begin() as transaction:
+                meta_table = environment.open_db(META_TABLE, transaction, create=False)
+                records_table = environment.open_db(table, transaction, create=False)
+                found = transaction.get(FORMAT_KEY, db=meta_table) or UNKNOWN_FORMAT
+                _check_format(path, found, format_version)
+                yield transaction.cursor(db=records_table)
         finally:
-            env.close()
+            environment.close()
     except lmdb.Error as error:
-        raise StoreError(f"{path}: {error}") from None
+        raise StoreAccessError(path, error) from error
 
 
 class StateMachineStore:
-    """What parts in the step form keep (:class:`lotuspick.state_machine.Write`): records by key."""
+    """Records of state machines by key (:class:`lotuspick.state_machine.PersistRecord`)."""
 
     def __init__(
         self,
         path: Path,
-        max_mib: int = 16,
-        fault_point: Callable[[str], None] = lambda point: None,
+        max_mib: int = STATE_MACHINE_MAX_MIB,
+        fault_point: FaultPoint = no_fault,
         sync: bool = True,
     ) -> None:
+        """Open the store; arguments and errors are those of :class:`Environment`."""
         self.environment = Environment(
             path, STATE_MACHINE_TABLE, STATE_MACHINE_FORMAT, max_mib, fault_point, sync
         )
 
     def load(self) -> dict[str, bytes]:
-        """All records. Raises :class:`StoreError` naming a spoilt one: nothing is guessed about what was promised."""
-        return {
-            key.decode(): verify_checksum(
-                f"{self.environment.path}: {key.decode(errors='replace')}", key, row
-            )
-            for key, row in self.environment.rows()
-        }
+        """All records by key.
+
+        Raises:
+            CorruptRecordError: a record is damaged; nothing is guessed about what it promised.
+        """
+        records: dict[str, bytes] = {}
+        for key, row in self.environment.rows():
+            record_name = f"{self.environment.path}: {key.decode(errors='replace')}"
+            records[key.decode()] = verify_checksum(record_name, key, row)
+        return records
 
     def write(self, records: Iterable[tuple[str, bytes]], dropped_keys: Iterable[str] = ()) -> None:
-        """Put records in place of those before, all or nothing, and return when it lasts, or :class:`StoreError`."""
+        """Replace records and delete others; see :meth:`Environment.commit`.
+
+        Raises:
+            StoreError: nothing of it was written.
+        """
         keyed = ((key.encode(), record) for key, record in records)
         self.environment.commit(
             ((key, add_checksum(key, record)) for key, record in keyed),
@@ -184,4 +273,5 @@
         )
 
     def close(self) -> None:
+        """Close the store and give up its ownership."""
         self.environment.close()
--- a/lotuspick/transport/storage/errors.py
+++ b/lotuspick/transport/storage/errors.py
@@ -1,7 +1,68 @@
-"""The error of the stores on disk."""
+"""Errors of the stores on disk, one type for each thing that can be wrong with a store."""
 
 from __future__ import annotations
 
+from pathlib import Path
+
+LOGGED_FORMAT_CHARS = 20
+
 
 class StoreError(Exception):
     """The store cannot be used, or did not take a record; the text says why."""
+
+
+class StoreAccessError(StoreError):
+    """The operating system or LMDB reports an error."""
+
+    def __init__(self, path: Path, detail: object) -> None:
+        super().__init__(f"{path}: {detail}")
+        self.path, self.detail = path, detail
+
+
+class StoreLockedError(StoreError):
+    """Another process owns the store."""
+
+    def __init__(self, path: Path) -> None:
+        super().__init__(f"{path}: another process has it open")
+        self.path = path
+
+
+class StoreMissingError(StoreError):
+    """There is no store at the path."""
+
+    def __init__(self, path: Path, description: str) -> None:
+        super().__init__(f"{path}: no {description}")
+        self.path, self.description = path, description
+
+
+class StoreTruncatedError(StoreError):
+    """The data file is shorter than the pages that it refers to."""
+
+    def __init__(self, data_file: Path, found_bytes: int, needed_bytes: int) -> None:
+        super().__init__(f"{data_file}: cut off at {found_bytes} of {needed_bytes} bytes")
+        self.data_file, self.found_bytes, self.needed_bytes = data_file, found_bytes, needed_bytes
+
+
+class StoreFormatError(StoreError):
+    """The store was written in another format."""
+
+    def __init__(self, path: Path, found: bytes, expected: bytes) -> None:
+        found_text = found.decode(errors="replace")[:LOGGED_FORMAT_CHARS]
+        super().__init__(f"{path}: format {found_text}, not {expected.decode()}")
+        self.path, self.found, self.expected = path, found, expected
+
+
+class StoreFullError(StoreError):
+    """The store has reached its size limit; nothing of the batch was written."""
+
+    def __init__(self, path: Path) -> None:
+        super().__init__(f"{path}: full")
+        self.path = path
+
+
+class CorruptRecordError(StoreError):
+    """A record differs from what was written."""
+
+    def __init__(self, record_name: str) -> None:
+        super().__init__(f"{record_name}: the record is spoilt")
+        self.record_name = record_name
--- a/lotuspick/transport/storage/key_folder.py
+++ b/lotuspick/transport/storage/key_folder.py
@@ -1,5 +1,8 @@
-"""Keys on disk: a folder with ``keys.json``, the public keys as a JWK set (RFC 7517, 8037), which brokers get, and a
-private key beside it for each that this issuer may sign with, readable by its owner alone."""
+"""Signing keys on disk: one folder an issuer.
+
+``keys.json`` has the public keys as a JWK set (RFC 7517, 8037), and is what brokers get. Beside it lies a
+private key for each that this issuer may sign with, readable by its owner alone.
+"""
 
 from __future__ import annotations
 
@@ -25,6 +28,11 @@
 from lotuspick.entitlement.tokens import PublicKey
 
 MAX_KEYS = 64
+PUBLIC_KEYS_FILE = "keys.json"
+FOLDER_MODE, PRIVATE_KEY_MODE = 0o700, 0o600
+OTHERS_ACCESS = 0o077  # permission bits of group and others
+KEY_ID_RANDOM_BYTES = 2
+KEY_TYPE, CURVE, KEY_USE = "OKP", "Ed25519", "sig"  # values of a JWK
 
 
 class KeyFolderError(Exception):
@@ -35,79 +43,106 @@
     """The keys of one issuer."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.public_keys_file = folder, folder / "keys.json"
+        self.folder, self.public_keys_file = folder, folder / PUBLIC_KEYS_FILE
 
     def load(self) -> dict[str, PublicKey]:
-        """The public keys by id, oldest first. Raises :class:`KeyFolderError`."""
+        """The public keys by id, oldest first; none where there is no file.
+
+        Raises:
+            KeyFolderError: the file cannot be read, or its keys cannot be used.
+        """
         try:
             jwks = json.loads(self.public_keys_file.read_text(encoding="utf-8"))["keys"]
-            keys = [_key_from_jwk(each) for each in jwks]
+            keys = [_key_from_jwk(jwk) for jwk in jwks]
         except FileNotFoundError:
             return {}
         except OSError as error:
-            raise KeyFolderError(f"{self.public_keys_file}: {error.strerror}") from None
+            raise KeyFolderError(f"{self.public_keys_file}: {error.strerror}") from error
         except (ValueError, KeyError, TypeError) as error:
-            raise KeyFolderError(f"{self.public_keys_file}: not a set of Ed25519 keys: {error}") from None
+            raise KeyFolderError(f"{self.public_keys_file}: not a set of Ed25519 keys: {error}") from error
         if len({key.kid for key in keys}) < len(keys) or len(keys) > MAX_KEYS:
             raise KeyFolderError(f"{self.public_keys_file}: an id twice, or more than {MAX_KEYS} keys")
         return {key.kid: key for key in keys}
 
     def private(self, kid: str) -> Ed25519PrivateKey:
-        """A key to sign with. Raises :class:`KeyFolderError` where others may read it."""
-        path = self.folder / f"{kid}.pem"
+        """The private key of an id.
+
+        Raises:
+            KeyFolderError: the file cannot be used, or others may read it.
+        """
+        path = self._private_key_file(kid)
         try:
-            mode = path.stat().st_mode
-            if stat.S_IMODE(mode) & 0o077:
-                raise KeyFolderError(
-                    f"{path}: may be read by others (mode {stat.S_IMODE(mode):o}); it must be 600"
-                )
+            mode = stat.S_IMODE(path.stat().st_mode)
+            if mode & OTHERS_ACCESS:
+                raise KeyFolderError(f"{path}: may be read by others (mode {mode:o}); it must be 600")
             key = load_pem_private_key(path.read_bytes(), None)
         except OSError as error:
-            raise KeyFolderError(f"{path}: {error.strerror}") from None
+            raise KeyFolderError(f"{path}: {error.strerror}") from error
         except (ValueError, TypeError, UnsupportedAlgorithm):
-            raise KeyFolderError(f"{path}: not a private key") from None
+            raise KeyFolderError(f"{path}: not a private key") from None  # a cause could quote the file
         if not isinstance(key, Ed25519PrivateKey):
             raise KeyFolderError(f"{path}: not an Ed25519 key")
         return key
 
     def make(self, now_s: int, overlap_s: int) -> PublicKey:
-        """A new key that signs from now on; those before it may have signed for ``overlap_s`` longer, so that tokens
-        which were made in the meantime elsewhere are still good."""
-        keys = self.load()
-        private = Ed25519PrivateKey.generate()
-        key = PublicKey(f"k{now_s:x}-{secrets.token_hex(2)}", private.public_key(), now_s)
-        pem = private.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption())
-        self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-        path = self.folder / f"{key.kid}.pem"
-        with os.fdopen(os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "wb") as file:
-            file.write(pem)
-        ended = [replace(key, until_s=min(key.until_s, now_s + overlap_s)) for key in keys.values()]
-        self._write([*ended, key])
-        return key
+        """Make a key that signs from now on.
+
+        Args:
+            now_s: Unix time in seconds.
+            overlap_s: how much longer the earlier keys may sign, in seconds, so that tokens which are signed
+                elsewhere in the meantime are valid.
+
+        Raises:
+            KeyFolderError: the public keys cannot be read.
+        """
+        earlier = self.load().values()
+        private_key = Ed25519PrivateKey.generate()
+        kid = f"k{now_s:x}-{secrets.token_hex(KEY_ID_RANDOM_BYTES)}"
+        made = PublicKey(kid, private_key.public_key(), now_s)
+        self._write_private_key(kid, private_key)
+        ended = [replace(key, until_s=min(key.until_s, now_s + overlap_s)) for key in earlier]
+        self._write_public_keys([*ended, made])
+        return made
 
     def withdraw(self, kid: str) -> None:
-        """Nothing that this key signed is good any more. Its private key is removed. Raises :class:`KeyFolderError`."""
+        """Make all tokens that a key has signed invalid, and delete its private key.
+
+        Raises:
+            KeyFolderError: there is no such key, or the public keys cannot be read.
+        """
         keys = self.load()
         if kid not in keys:
             raise KeyFolderError(f"{self.public_keys_file}: no key {kid}")
         keys[kid] = replace(keys[kid], withdrawn=True)
-        self._write(list(keys.values()))
-        (self.folder / f"{kid}.pem").unlink(missing_ok=True)
+        self._write_public_keys(list(keys.values()))
+        self._private_key_file(kid).unlink(missing_ok=True)
+
+    def _private_key_file(self, kid: str) -> Path:
+        return self.folder / f"{kid}.pem"
+
+    def _write_private_key(self, kid: str, key: Ed25519PrivateKey) -> None:
+        """Write a private key into a new file that nobody else could read at any time."""
+        pem = key.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption())
+        self.folder.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
+        flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
+        descriptor = os.open(self._private_key_file(kid), flags, PRIVATE_KEY_MODE)
+        with os.fdopen(descriptor, "wb") as file:
+            file.write(pem)
 
-    def _write(self, keys: list[PublicKey]) -> None:
+    def _write_public_keys(self, keys: list[PublicKey]) -> None:
+        """Replace the file in one step, so that a reader never sees a part of it."""
         replacement = self.public_keys_file.with_suffix(".new")
-        replacement.write_text(
-            json.dumps({"keys": [_jwk(key) for key in keys]}, indent=1) + "\n", encoding="utf-8"
-        )
+        text = json.dumps({"keys": [_jwk_from_key(key) for key in keys]}, indent=1)
+        replacement.write_text(text + "\n", encoding="utf-8")
         replacement.replace(self.public_keys_file)
 
 
-def _jwk(key: PublicKey) -> dict[str, Any]:
+def _jwk_from_key(key: PublicKey) -> dict[str, Any]:
     raw = key.key.public_bytes(Encoding.Raw, PublicFormat.Raw)
     return {
-        "kty": "OKP",
-        "crv": "Ed25519",
-        "use": "sig",
+        "kty": KEY_TYPE,
+        "crv": CURVE,
+        "use": KEY_USE,
         "kid": key.kid,
         "x": base64.urlsafe_b64encode(raw).decode().rstrip("="),
         "from": key.from_s,
@@ -117,9 +152,10 @@
 
 
 def _key_from_jwk(jwk: dict[str, Any]) -> PublicKey:
-    if (jwk["kty"], jwk["crv"]) != ("OKP", "Ed25519"):
+    if (jwk["kty"], jwk["crv"]) != (KEY_TYPE, CURVE):
         raise ValueError(f"key {jwk['kid']!r:.40} is of another kind")
-    raw = base64.urlsafe_b64decode(jwk["x"] + "=" * (-len(jwk["x"]) % 4))
+    padding = "=" * (-len(jwk["x"]) % 4)  # JWK leaves it out
+    raw = base64.urlsafe_b64decode(jwk["x"] + padding)
     return PublicKey(
         str(jwk["kid"]),
         Ed25519PublicKey.from_public_bytes(raw),
--- a/lotuspick/transport/storage/seat_store.py
+++ b/lotuspick/transport/storage/seat_store.py
@@ -1,51 +1,58 @@
-"""The seats on disk: records of the ledger in an environment of :mod:`lotuspick.transport.storage.durable_store`."""
+"""The ledger of seats on disk, in an environment of :mod:`lotuspick.transport.storage.durable_store`."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from pathlib import Path
 
 import msgspec
 
 from lotuspick.entitlement.ledger import Record, State
-from lotuspick.transport.storage.durable_store import Environment, add_checksum, read_only, verify_checksum
-
-FORMAT = 1
+from lotuspick.transport.storage.durable_store import (
+    Environment,
+    FaultPoint,
+    add_checksum,
+    no_fault,
+    read_only,
+    verify_checksum,
+)
+
+SEATS_TABLE, SEATS_FORMAT = b"seats", b"1"
 DEFAULT_MAX_MIB = 256  # a million seats take about 150
-ENCODE_ROW = msgspec.msgpack.Encoder().encode
-DECODE_ROW = msgspec.msgpack.Decoder(
-    tuple[int, str, str, int, int, int, bool, int, int, tuple[str, ...]]
-).decode
 STATES_BY_NUMBER = list(State)
-SEATS_TABLE = b"seats"
+
+Row = tuple[int, str, str, int, int, int, bool, int, int, tuple[str, ...]]
+"""A record without its seat, which is the key: the fields of ``Record`` in order, the state as a number."""
+
+_encode_row = msgspec.msgpack.Encoder().encode
+_decode_row = msgspec.msgpack.Decoder(Row).decode
 
 
 def pack(record: Record) -> bytes:
-    """A record as it lies on disk."""
-    return add_checksum(
-        record.seat.encode(),
-        ENCODE_ROW(
-            (
-                int(record.state),
-                record.session,
-                record.viewer,
-                record.epoch,
-                record.ends_s,
-                record.changes,
-                record.counted,
-                record.from_s,
-                record.until_s,
-                record.indeterminate,
-            )
-        ),
+    """Return a record as it is stored."""
+    row: Row = (
+        int(record.state),
+        record.session,
+        record.viewer,
+        record.epoch,
+        record.ends_s,
+        record.changes,
+        record.counted,
+        record.from_s,
+        record.until_s,
+        record.indeterminate,
     )
+    return add_checksum(record.seat.encode(), _encode_row(row))
 
 
-def unpack(seat: str, raw: bytes) -> Record:
-    """The record of a seat. Raises :class:`StoreError` for one that is not as it was written."""
-    state, session, viewer, epoch, ends_s, changes, counted, from_s, until_s, indeterminate = DECODE_ROW(
-        verify_checksum(f"seat {seat}", seat.encode(), raw)
-    )
+def unpack(seat: str, stored: bytes) -> Record:
+    """Return the record of a seat from what :func:`pack` gave.
+
+    Raises:
+        CorruptRecordError: the record differs from what was written.
+    """
+    row: Row = _decode_row(verify_checksum(f"seat {seat}", seat.encode(), stored))
+    state, session, viewer, epoch, ends_s, changes, counted, from_s, until_s, indeterminate = row
     return Record(
         seat,
         STATES_BY_NUMBER[state],
@@ -62,33 +69,47 @@
 
 
 class SeatStore:
-    """The file. ``max_mib`` bounds its size; ``fault_point`` is called at each point at which a process may die."""
+    """The store of one broker's seats."""
 
     def __init__(
         self,
         path: Path,
         max_mib: int = DEFAULT_MAX_MIB,
-        fault_point: Callable[[str], None] = lambda point: None,
+        fault_point: FaultPoint = no_fault,
         sync: bool = True,
     ) -> None:
-        self.environment = Environment(path, SEATS_TABLE, str(FORMAT).encode(), max_mib, fault_point, sync)
+        """Open the store; arguments and errors are those of :class:`Environment`."""
+        self.environment = Environment(path, SEATS_TABLE, SEATS_FORMAT, max_mib, fault_point, sync)
 
     def load(self) -> list[Record]:
-        """All records. Raises :class:`StoreError` naming a spoilt one: nothing is guessed about a paid seat."""
+        """All records.
+
+        Raises:
+            CorruptRecordError: a record is damaged; nothing is guessed about a paid seat.
+        """
         return [unpack(key.decode(), row) for key, row in self.environment.rows()]
 
     def write(self, records: Iterable[Record], dropped_keys: Iterable[str] = ()) -> None:
-        """Put records in and drop seats; see :meth:`Environment.commit`."""
+        """Write records and delete seats; see :meth:`Environment.commit`.
+
+        Raises:
+            StoreError: nothing of it was written.
+        """
         self.environment.commit(
             ((record.seat.encode(), pack(record)) for record in records),
             (seat.encode() for seat in dropped_keys),
         )
 
     def close(self) -> None:
+        """Close the store and give up its ownership."""
         self.environment.close()
 
 
 def read(path: Path) -> list[Record]:
-    """All records of a store, whether a broker has it open or not. Raises :class:`StoreError`."""
-    with read_only(path, SEATS_TABLE, str(FORMAT).encode(), "store of seats") as rows:
+    """All records of a store, whether or not a broker has it open.
+
+    Raises:
+        StoreError: the store cannot be read; the subtype says why.
+    """
+    with read_only(path, SEATS_TABLE, SEATS_FORMAT, "store of seats") as rows:
         return [unpack(key.decode(), row) for key, row in rows]
