--- a/lotuspick/entitlement/constraints.py
+++ b/lotuspick/entitlement/constraints.py
@@ -142,8 +142,9 @@
         self.journal.submit(record, lambda error: self._on_reservation_written(session, error))
         return self._pending
 
-    def _on_reservation_written(self, session: SeatSession, error: str) -> None:
-        session.reservation_durable, session.write_error = not error, error
+    def _on_reservation_written(self, session: SeatSession, error: Exception | None) -> None:
+        session.reservation_durable = error is None
+        session.write_error = "" if error is None else str(error)
 
     def _reject(self, now: int, request: SessionRequest, reason: str, detail: str) -> PlacementConstraint:
         self.events.record(
@@ -277,8 +278,8 @@
             self._unwritten.pop(record.seat, None)
             self.journal.submit(record, lambda error: self._on_written(record, error))
 
-    def _on_written(self, record: Record, error: str) -> None:
-        if error and self.ledger.records.get(record.seat) is record:
+    def _on_written(self, record: Record, error: Exception | None) -> None:
+        if error is not None and self.ledger.records.get(record.seat) is record:
             self._unwritten[record.seat] = record
 
     # ---- renewal, revocation, lapse -----------------------------------------------------------------------
@@ -311,12 +312,12 @@
             return
         self.counts["renewed"] += 1
 
-        def on_written(error: str) -> None:
+        def on_written(error: Exception | None) -> None:
             self._on_written(record, error)
-            if not error:
+            if error is None:
                 session.seat = seat
                 self._set_lapse(session, now)
-            done(STORE if error else "")
+            done("" if error is None else STORE)
 
         self.journal.submit(record, on_written)
 
--- a/lotuspick/entitlement/seat_session.py
+++ b/lotuspick/entitlement/seat_session.py
@@ -17,13 +17,17 @@
 )  # counted seats are kept so long after their last token's end, for settlement
 
 
+WriteCallback = Callable[[Exception | None], None]
+"""Called once a write is durable, with None, or has failed, with the error."""
+
+
 class Journal(Protocol):
     """Where records of the ledger become durable."""
 
-    def submit(self, record: Record, done: Callable[[str], None]) -> None:
-        """Write a record; ``done`` gets the error's text or an empty one, later and never from within."""
+    def submit(self, record: Record, done: WriteCallback) -> None:
+        """Write a record; ``done`` is called later, never from within."""
 
-    def drop(self, seats: list[str], done: Callable[[str], None]) -> None:
+    def drop(self, seats: list[str], done: WriteCallback) -> None:
         """Delete seats; ``done`` as in :meth:`submit`."""
 
 
--- a/lotuspick/lab/seats/cost.py
+++ b/lotuspick/lab/seats/cost.py
@@ -15,6 +15,7 @@
 from lotuspick.entitlement.model import Seat
 from lotuspick.entitlement.tokens import PublicKey, TokenVerifier, sign
 from lotuspick.lab.seats import trial
+from lotuspick.transport.storage.errors import StoreError
 from lotuspick.transport.storage.group_commit import GroupCommit
 from lotuspick.transport.storage.seat_store import SeatStore
 
@@ -65,7 +66,7 @@
             assert record is not None
             checks.append((time.perf_counter() - start) * 1e6)
 
-            def done(fault: str, at: int = at, due: float = due) -> None:
+            def done(_error: StoreError | None, at: int = at, due: float = due) -> None:
                 lasts[at] = (time.perf_counter() - due) * 1e6
 
             commits.submit(record, done)
--- a/lotuspick/program/entitlement.py
+++ b/lotuspick/program/entitlement.py
@@ -5,7 +5,7 @@
 import json
 import logging
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from pathlib import Path
 
 from lotuspick.core.operator_events import OperatorEvent
@@ -17,7 +17,7 @@
 from lotuspick.routing.termination import TerminationReason
 from lotuspick.transport.sockets import wall_s
 from lotuspick.transport.storage.errors import StoreError
-from lotuspick.transport.storage.group_commit import CommitCallback, GroupCommit
+from lotuspick.transport.storage.group_commit import CommitCallback, CommitReport, GroupCommit, notify_all
 from lotuspick.transport.storage.key_folder import KeyFolder, KeyFolderError
 from lotuspick.transport.storage.seat_store import SeatStore
 
@@ -72,12 +72,11 @@
     def drop(self, seats: list[str], done: CommitCallback) -> None:
         self.commits.drop(seats, done)
 
-    def _lasting(self, heard: list[tuple[CommitCallback, str]]) -> None:
+    def _lasting(self, reports: Sequence[CommitReport]) -> None:
         """On the thread of the commits."""
 
         def tell() -> None:
-            for done, fault in heard:
-                done(fault)
+            notify_all(reports)
             self.post(LedgerCommitted())
 
         self.run(tell)
--- a/lotuspick/program/membership.py
+++ b/lotuspick/program/membership.py
@@ -4,7 +4,7 @@
 
 import logging
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from importlib import metadata
 from typing import Any
 
@@ -23,7 +23,7 @@
 from lotuspick.transport.peers.state_machine_driver import Driver, awake_us
 from lotuspick.transport.storage.durable_store import StateMachineStore
 from lotuspick.transport.storage.errors import StoreError
-from lotuspick.transport.storage.group_commit import CommitCallback, GroupCommit
+from lotuspick.transport.storage.group_commit import CommitReport, GroupCommit, notify_all
 
 log = logging.getLogger(__name__)
 
@@ -82,14 +82,9 @@
     def _send(self, effect: SendMessage) -> None:
         self.link.send(effect.peer, effect.message, effect.reliable)
 
-    def _lasting(self, heard: list[tuple[CommitCallback, str]]) -> None:
+    def _lasting(self, reports: Sequence[CommitReport]) -> None:
         """On the thread of the commits."""
-
-        def tell() -> None:
-            for done, fault in heard:
-                done(fault)
-
-        self.broker.reactor.callFromThread(tell)
+        self.broker.reactor.callFromThread(notify_all, reports)
 
     def _told(self, news: Any) -> None:
         """What the members have to tell, each in a line of its own."""
@@ -185,7 +180,7 @@
         return {
             "own": self.broker.config.name,
             "counts": self.counts(),
-            "disk": self.driver.fault,
+            "disk": "" if self.driver.write_error is None else str(self.driver.write_error),
             "members": [self._member(name) for name in sorted(self.members.records)],
         }
 
--- a/lotuspick/transport/peers/state_machine_driver.py
+++ b/lotuspick/transport/peers/state_machine_driver.py
@@ -28,12 +28,14 @@
     WriteCommitted,
 )
 from lotuspick.transport.sockets import Reactor
+from lotuspick.transport.storage.errors import StoreError
+from lotuspick.transport.storage.group_commit import CommitCallback
 
 log = logging.getLogger(__name__)
 
 AGAIN_S = 1.0  # between tries of a write that the disk did not take
-Keep = Callable[[Sequence[tuple[str, bytes]], Callable[[str], None]], None]
-"""Writes records, all or nothing, and calls back, where the decisions are made, with what was wrong or nothing."""
+Keep = Callable[[Sequence[tuple[str, bytes]], CommitCallback], None]
+"""Writes records, all or nothing, and calls back where the decisions are made."""
 
 
 def awake_us() -> int:
@@ -57,8 +59,8 @@
     ) -> None:
         self.reactor, self.machine, self.clock = reactor, machine, clock
         self.keep, self.send, self.tell, self.fired = keep, send, tell, fired
-        self.fault = ""
-        """Why the disk does not take what is written; empty: it does."""
+        self.write_error: StoreError | None = None
+        """Why the disk does not take what is written; None: it does."""
         self._outbox = EffectQueue()
         self._unwritten: list[
             tuple[str, bytes]
@@ -121,17 +123,19 @@
         self._writing = len(self._unwritten)
         self.keep(tuple(self._unwritten), self._written)
 
-    def _written(self, fault: str) -> None:
+    def _written(self, error: StoreError | None) -> None:
         count, self._writing = self._writing, 0
         if self._closed:
             return
-        if fault:
-            if fault != self.fault:
-                log.error("a record does not last, nothing that rests on it is said", extra={"fault": fault})
-            self.fault = fault
+        if error is not None:
+            if self.write_error is None or str(error) != str(self.write_error):
+                log.error(
+                    "a record does not last, nothing that rests on it is said", extra={"fault": str(error)}
+                )
+            self.write_error = error
             self.reactor.callLater(AGAIN_S, self._write)
             return
-        self.fault = ""
+        self.write_error = None
         del self._unwritten[:count]
         last = self._outbox.committed + count
         first = self._outbox.committed + 1
--- a/lotuspick/transport/storage/group_commit.py
+++ b/lotuspick/transport/storage/group_commit.py
@@ -1,99 +1,133 @@
-"""Group commit off the reactor's thread: whatever waits when a commit ends goes into the next one."""
+"""Group commit: writes records on a thread of its own, many in one commit.
+
+Whatever is queued when a commit ends goes into the next one, so that the cost of reaching the disk is shared
+and the reactor never waits for it.
+"""
 
 from __future__ import annotations
 
 import queue
 import threading
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Generic, Protocol, TypeVar
 
 from lotuspick.transport.storage.errors import StoreError
 
-MAX_BATCH = 512  # records of one commit at most
+MAX_BATCH = 512  # writes in one commit
+
+RecordT = TypeVar("RecordT")
+RecordT_contra = TypeVar("RecordT_contra", contravariant=True)
 
 
-class RecordStore(Protocol):
+class RecordStore(Protocol[RecordT_contra]):
     """What group commit writes to."""
 
-    def write(self, records: Iterable[Any], dropped_keys: Iterable[str] = ()) -> None:
-        """Put records in and drop keys, all or nothing; raises :class:`StoreError`."""
+    def write(self, records: Iterable[RecordT_contra], dropped_keys: Iterable[str] = ()) -> None:
+        """Write records and delete others, all or nothing; returns when the commit is durable.
+
+        Raises:
+            StoreError: nothing of it was written.
+        """
+
+
+CommitCallback = Callable[[StoreError | None], None]
+"""Called once a write is durable, with None, or has failed, with the error."""
+
+
+@dataclass(frozen=True, slots=True)
+class CommitReport:
+    """What became of one write."""
 
+    callback: CommitCallback
+    error: StoreError | None
 
-CommitCallback = Callable[[str], None]
-"""Called with what was wrong; empty: it lasts."""
+    def notify(self) -> None:
+        """Call the callback of the write."""
+        self.callback(self.error)
 
 
 @dataclass(frozen=True, slots=True)
-class _PendingWrite:
-    records: tuple[Any, ...]
+class _PendingWrite(Generic[RecordT]):
+    records: tuple[RecordT, ...]
     dropped_keys: tuple[str, ...]
     on_committed: CommitCallback
 
 
-def _run_callbacks(reports: list[tuple[CommitCallback, str]]) -> None:
-    for on_committed, error_text in reports:
-        on_committed(error_text)
+def notify_all(reports: Sequence[CommitReport]) -> None:
+    """Call the callbacks on the thread of the caller."""
+    for report in reports:
+        report.notify()
 
 
-class GroupCommit:
-    """Writes on a thread of its own: whatever waits when a commit ends goes into the next one. ``deliver`` is called
-    on that thread after each commit, with all that are to hear of it, and brings them to the reactor."""
+class GroupCommit(Generic[RecordT]):
+    """The one writer of a store, on a thread of its own."""
 
     def __init__(
         self,
-        store: RecordStore,
-        deliver: Callable[[list[tuple[CommitCallback, str]]], None] = _run_callbacks,
+        store: RecordStore[RecordT],
+        deliver: Callable[[Sequence[CommitReport]], None] = notify_all,
         max_batch: int = MAX_BATCH,
         name: str = "seats",
     ) -> None:
+        """Start the thread.
+
+        Args:
+            store: what is written to, by this thread alone.
+            deliver: called on this thread after each commit, with the reports of all its writes; it has to
+                bring them to the thread of the reactor.
+            max_batch: how many writes a commit takes at most.
+            name: of the thread.
+        """
         self.store, self.deliver, self.max_batch = store, deliver, max_batch
         self.commits = 0
-        self._queue: queue.SimpleQueue[_PendingWrite | None] = queue.SimpleQueue()
+        self._queue: queue.SimpleQueue[_PendingWrite[RecordT] | None] = queue.SimpleQueue()
+        self._closing = False  # the thread has taken the end of the queue
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
         self._thread.start()
 
-    def submit(self, record: Any, on_committed: CommitCallback) -> None:
-        """Have a record written; the last of several on one key wins."""
+    def submit(self, record: RecordT, on_committed: CommitCallback) -> None:
+        """Queue a record; of several with one key the last wins."""
         self._queue.put(_PendingWrite((record,), (), on_committed))
 
-    def submit_all(self, records: Iterable[Any], on_committed: CommitCallback) -> None:
-        """Have records written, all or nothing."""
+    def submit_all(self, records: Iterable[RecordT], on_committed: CommitCallback) -> None:
+        """Queue records that are written all or nothing."""
         self._queue.put(_PendingWrite(tuple(records), (), on_committed))
 
     def drop(self, keys: Iterable[str], on_committed: CommitCallback) -> None:
-        """Have records dropped."""
+        """Queue the deletion of records."""
         self._queue.put(_PendingWrite((), tuple(keys), on_committed))
 
     def close(self) -> None:
-        """Write what waits, and end."""
+        """Write what is queued, and end the thread; blocks until then."""
         self._queue.put(None)
         self._thread.join()
 
     def _run(self) -> None:
-        closing = False
-        while not closing:
-            first = self._queue.get()
-            pending: list[_PendingWrite] = []
-            closing = first is None
-            if first is not None:
-                pending.append(first)
-            while not closing and len(pending) < self.max_batch and not self._queue.empty():
-                more: Any = self._queue.get()
-                closing = more is None
-                if more is not None:
-                    pending.append(more)
-            if pending:
-                self._commit(pending)
-
-    def _commit(self, pending: list[_PendingWrite]) -> None:
-        error_text = ""
+        while not self._closing:
+            batch = self._take_batch()
+            if batch:
+                self._commit(batch)
+
+    def _take_batch(self) -> list[_PendingWrite[RecordT]]:
+        """Wait for a write, and take what is queued behind it, up to the limit or the end of the queue."""
+        batch: list[_PendingWrite[RecordT]] = []
+        while not batch or (len(batch) < self.max_batch and not self._queue.empty()):
+            write = self._queue.get()
+            if write is None:
+                self._closing = True
+                break
+            batch.append(write)
+        return batch
+
+    def _commit(self, batch: Sequence[_PendingWrite[RecordT]]) -> None:
+        failure: StoreError | None = None
         try:
             self.store.write(
-                [record for write in pending for record in write.records],
-                [key for write in pending for key in write.dropped_keys],
+                [record for write in batch for record in write.records],
+                [key for write in batch for key in write.dropped_keys],
             )
             self.commits += 1
         except StoreError as error:
-            error_text = str(error)
-        self.deliver([(write.on_committed, error_text) for write in pending])
+            failure = error
+        self.deliver([CommitReport(write.on_committed, failure) for write in batch])
--- a/tests/test_seat_store.py
+++ b/tests/test_seat_store.py
@@ -13,7 +13,7 @@
 from scenario import ROOT
 
 from lotuspick.entitlement.ledger import Ledger, Record, State, Verdict
-from lotuspick.transport.storage.errors import StoreError
+from lotuspick.transport.storage.errors import StoreAccessError, StoreError
 from lotuspick.transport.storage.group_commit import GroupCommit
 from lotuspick.transport.storage.seat_store import SeatStore, read
 
@@ -120,18 +120,18 @@
             SeatStore(self.path)
 
     def test_what_waits_goes_into_one_commit_and_each_hears_of_it(self) -> None:
-        store, gate, heard = self.open(), threading.Event(), list[str]()
+        store, gate, heard = self.open(), threading.Event(), list[StoreError | None]()
         store.environment.fault_point = lambda point: gate.wait(20) and None if point == "begin" else None
         group = GroupCommit(store)
         for at in range(300):
             group.submit(Record(f"s{at}", State.RESERVED), heard.append)
         gate.set()
         group.close()
-        self.assertEqual((heard, len(store.load())), ([""] * 300, 300))
+        self.assertEqual((heard, len(store.load())), ([None] * 300, 300))
         self.assertLessEqual(group.commits, 3)
 
     def test_a_failed_write_is_told_to_all_that_it_holds(self) -> None:
-        store, heard = self.open(), list[str]()
+        store, heard = self.open(), list[StoreError | None]()
 
         def fault(point: str) -> None:
             if point == "put":
@@ -146,5 +146,6 @@
         group.submit(Record("s1"), heard.append)
         group.close()
         self.assertEqual(len(heard), 1)
-        self.assertIn("no space left", heard[0].lower())
+        self.assertIsInstance(heard[0], StoreAccessError)
+        self.assertIn("no space left", str(heard[0]).lower())
         self.assertEqual(store.load(), [])
--- a/tests/test_seats_guide.py
+++ b/tests/test_seats_guide.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import unittest
-from collections.abc import Callable
 from typing import Any
 
 from helpers import SECOND, of, request, servers, settings
@@ -25,7 +24,7 @@
 from lotuspick.entitlement.constraints import SeatConstraints
 from lotuspick.entitlement.ledger import Ledger, Record, State
 from lotuspick.entitlement.model import Seat
-from lotuspick.entitlement.seat_session import Rules
+from lotuspick.entitlement.seat_session import Rules, WriteCallback
 from lotuspick.entitlement.tokens import sign
 
 START = 20 * SECOND
@@ -35,15 +34,15 @@
     """Takes records when the test says so, or fails."""
 
     def __init__(self) -> None:
-        self.waiting: list[tuple[Record, Callable[[str], None]]] = []
+        self.waiting: list[tuple[Record, WriteCallback]] = []
         self.written: dict[str, Record] = {}
         self.dropped: list[str] = []
         self.fault = ""
 
-    def submit(self, record: Record, done: Callable[[str], None]) -> None:
+    def submit(self, record: Record, done: WriteCallback) -> None:
         self.waiting.append((record, done))
 
-    def drop(self, seats: list[str], done: Callable[[str], None]) -> None:
+    def drop(self, seats: list[str], done: WriteCallback) -> None:
         self.dropped += seats
 
     def work(self) -> None:
@@ -51,7 +50,7 @@
         for record, done in waiting:
             if not self.fault:
                 self.written[record.seat] = record
-            done(self.fault)
+            done(OSError(self.fault) if self.fault else None)
 
 
 class Guided(unittest.TestCase):
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -8,7 +8,7 @@
 import sys
 import tempfile
 import unittest
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 from pathlib import Path
 from typing import Any
 
@@ -32,7 +32,7 @@
 from lotuspick.transport.peers.state_machine_driver import Driver
 from lotuspick.transport.storage.durable_store import StateMachineStore
 from lotuspick.transport.storage.errors import StoreError
-from lotuspick.transport.storage.group_commit import GroupCommit
+from lotuspick.transport.storage.group_commit import CommitCallback, GroupCommit
 
 SECOND = 1_000_000
 WRITER = """
@@ -97,7 +97,7 @@
     def __init__(self) -> None:
         self.clock, self.machine, self.out = Clock(), Scripted(), []
         self.disk: dict[str, bytes] = {}
-        self.waiting: list[tuple[Sequence[tuple[str, bytes]], Callable[[str], None]]] = []
+        self.waiting: list[tuple[Sequence[tuple[str, bytes]], CommitCallback]] = []
         self.full = False
         self.driver = Driver(
             self.clock,
@@ -109,7 +109,7 @@
         )
         self.driver.start({}, 1)
 
-    def _keep(self, records: Sequence[tuple[str, bytes]], done: Callable[[str], None]) -> None:
+    def _keep(self, records: Sequence[tuple[str, bytes]], done: CommitCallback) -> None:
         assert not self.waiting, "one batch is under way at a time"
         self.waiting.append((records, done))
         self.clock.callLater(0.01, self._kept)
@@ -118,7 +118,7 @@
         records, done = self.waiting.pop()
         if not self.full:
             self.disk.update(records)
-        done("full" if self.full else "")
+        done(StoreError("full") if self.full else None)
 
     def ask(self, what: str) -> None:
         self.driver.ask(what)
@@ -223,14 +223,14 @@
         with self.assertLogs("lotuspick.transport.peers.state_machine_driver", "ERROR") as logs:
             made.ask("two")
             made.pass_s(3)
-        self.assertEqual((made.out, made.driver.fault, len(logs.output)), ([], "full", 1))
+        self.assertEqual((made.out, str(made.driver.write_error), len(logs.output)), ([], "full", 1))
         made.ask("promise")
         made.full = False
         made.pass_s(3)
         self.assertEqual(
             [each for each in words(made.out) if each != "fired"], ["one", "two", "before 1", 1, "after 1"]
         )
-        self.assertEqual((made.lasting(), made.driver.fault), ({"a": b"1", "b": b"2", "k": b"1"}, ""))
+        self.assertEqual((made.lasting(), made.driver.write_error), ({"a": b"1", "b": b"2", "k": b"1"}, None))
 
     def test_a_driver_that_is_closed_does_nothing_more(self) -> None:
         made = Daemons()
@@ -304,11 +304,11 @@
             StateMachineStore(self.path / "s")
 
     def test_the_driver_writes_by_group_commit(self) -> None:
-        store, heard = StateMachineStore(self.path / "s"), list[str]()
+        store, heard = StateMachineStore(self.path / "s"), list[StoreError | None]()
         commits = GroupCommit(store)
         commits.submit_all([("a", b"1"), ("b", b"2"), ("a", b"3")], heard.append)
         commits.close()
-        self.assertEqual((store.load(), heard), ({"a": b"3", "b": b"2"}, [""]))
+        self.assertEqual((store.load(), heard), ({"a": b"3", "b": b"2"}, [None]))
         store.close()
 
 
