--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -14,15 +14,10 @@
 from twisted.python.failure import Failure
 
 from lotuspick.membership.model import Ack, Digest, Ping, Record, Sync
-from lotuspick.transport.peers import peer_connections
-from lotuspick.transport.peers.peer_connections import (
-    MOST_FRAME,
-    MOST_WAITING,
-    Envelope,
-    Hello,
-    Numbered,
-    Peers,
-)
+from lotuspick.transport.peers.frames import MOST_FRAME, Envelope, Hello, Numbered
+from lotuspick.transport.peers.peer_channel import AGAIN_S, LINGER_S, MOST_WAITING
+from lotuspick.transport.peers.peer_connection import HELLO_S, Connection
+from lotuspick.transport.peers.peer_connections import IDLE_S, Peers
 
 ROOT = Path(__file__).parent.parent
 LOOPBACK = """
@@ -96,7 +91,7 @@
 
     def inbound(self, address: str = "", run: int = 7) -> Any:
         """A connection that a peer has dialled, and on which it has said who it is."""
-        made = peer_connections.Connection(self.peers)
+        made = Connection(self.peers)
         made.makeConnection(Pipe())
         if address:
             made.dataReceived(framed(Hello(address, 1, run)))
@@ -149,7 +144,7 @@
                     self.assertTrue(stays.transport.value().endswith(numbered(1, 2)))
                     goes.dataReceived(framed(Numbered(1, Digest(1))))  # what was under way on it still comes
                     self.assertEqual(self.heard, [(peer, Digest(1))])
-                    self.reactor.advance(peer_connections.LINGER_S + 1)
+                    self.reactor.advance(LINGER_S + 1)
                     self.assertEqual(
                         (goes.transport.disconnecting, stays.transport.disconnecting), (True, False)
                     )
@@ -185,7 +180,7 @@
         line.pauseProducing()
         self.say("127.0.0.1:2", 2)
         line.connectionLost(Failure(error.ConnectionLost()))
-        self.reactor.advance(peer_connections.AGAIN_S)
+        self.reactor.advance(AGAIN_S)
         self.assertIn(numbered(1, 2), self.dialled().transport.value())
 
     def test_a_peer_that_takes_no_connection_is_given_up_and_dialled_for_the_next(self) -> None:
@@ -212,7 +207,7 @@
 
     def test_one_that_does_not_say_who_it_is_is_let_go(self) -> None:
         made, told = self.inbound(), self.inbound("127.0.0.1:2")
-        self.reactor.advance(peer_connections.HELLO_S + 1)
+        self.reactor.advance(HELLO_S + 1)
         self.assertTrue(made.transport.disconnected or made.transport.aborting)
         self.assertFalse(told.transport.disconnected or told.transport.aborting)
 
@@ -273,7 +268,7 @@
     def test_lines_that_carry_nothing_are_let_go(self) -> None:
         self.say("127.0.0.1:2", 0)
         line = self.dialled()
-        self.reactor.advance(peer_connections.IDLE_S + 1)
+        self.reactor.advance(IDLE_S + 1)
         self.peers.sweep()
         self.assertTrue(line.transport.disconnecting)
         line.connectionLost(Failure(error.ConnectionDone()))
