--- a/lotuspick/program/membership.py
+++ b/lotuspick/program/membership.py
@@ -19,8 +19,8 @@
 from lotuspick.program.configuration import ConfigError
 from lotuspick.state_machine import SendMessage
 from lotuspick.transport.control_port import ControlPort, ControlPortError
-from lotuspick.transport.peers.peer_connections import Peers
-from lotuspick.transport.peers.state_machine_driver import Driver, awake_us
+from lotuspick.transport.peers.peer_connections import PeerConnections
+from lotuspick.transport.peers.state_machine_driver import StateMachineDriver, awake_us
 from lotuspick.transport.storage.durable_store import StateMachineStore
 from lotuspick.transport.storage.errors import StoreError
 from lotuspick.transport.storage.group_commit import CommitReport, GroupCommit, notify_all
@@ -47,9 +47,16 @@
         self.commits = GroupCommit(self.store, self._lasting, name="steps")
         self.members = Members(told.watch)
         self.standings = QuorumTracker(told.standing)
-        self.link = Peers(broker.reactor, told.listen[0], self._heard, told.via, draw.getrandbits(62))
-        self.driver = Driver(
-            broker.reactor, self.members, self.commits.submit_all, self._send, self._told, fired=self._follow
+        self.link = PeerConnections(
+            broker.reactor, told.listen[0], self._heard, told.via, draw.getrandbits(62)
+        )
+        self.driver = StateMachineDriver(
+            broker.reactor,
+            self.members,
+            self.commits.submit_all,
+            self._send,
+            self._told,
+            on_timer_step=self._follow,
         )
         paid = frozenset(
             each.name
@@ -67,7 +74,9 @@
         told, broker = self.told, self.broker.config
         address = self.link.listen(told.listen[1])
         self.driver.start(self.records, self.seed)
-        self.driver.ask(Begin(broker.name, address, told.seeds, broker.settings.zone, version(), told.offers))
+        self.driver.submit_command(
+            Begin(broker.name, address, told.seeds, broker.settings.zone, version(), told.offers)
+        )
         control = ""
         if told.control is not None:
             self._port = ControlPort(self.answer).listen(self.broker.reactor, *told.control)
@@ -77,7 +86,7 @@
     # ---- between link, store and members ------------------------------------------------------------------
 
     def _heard(self, peer: str, message: Any) -> None:
-        self.driver.heard(peer, message)
+        self.driver.receive_message(peer, message)
 
     def _send(self, effect: SendMessage) -> None:
         self.link.send(effect.peer, effect.message, effect.reliable)
@@ -92,7 +101,7 @@
             case Changed(record=record, source=by, reason=why):
                 log.info("member", extra={**line(record), "by": by, "why": why})
                 if record.state is not State.ALIVE:
-                    self.link.gone(record.address)
+                    self.link.disconnect(record.address)
             case Displaced(record=record):
                 log.error(
                     "displaced: another process has this broker's name, no paid session is taken until a restart",
@@ -132,12 +141,12 @@
     def tick(self, now: int, summary: bool) -> list[OperatorEvent]:
         self._ticks += 1
         if self._ticks % SWEEP_S == 0:
-            self.link.sweep()
+            self.link.close_idle()
         return [OperatorEvent("members", self.counts())] if summary else []
 
     def stop_accepting(self) -> None:
         """The last that it says: that it has left, so nobody has to find out."""
-        self.driver.ask(Leave())
+        self.driver.submit_command(Leave())
 
     def close(self) -> None:
         self.driver.close()
@@ -215,7 +224,7 @@
         record = self._record(name)
         if record.state is State.LEFT:
             raise ControlPortError(f"{record.name} has left already")
-        self.driver.ask(Drain(record.name))
+        self.driver.submit_command(Drain(record.name))
         return {"own": self.broker.config.name, "member": self._member(record.name)}
 
 
--- a/lotuspick/transport/peers/frames.py
+++ b/lotuspick/transport/peers/frames.py
@@ -6,9 +6,9 @@
 
 from lotuspick.membership.model import Message
 
-VERSION = 1
-MOST_FRAME = 512 * 1024  # bytes: all records of a fleet of some thousands
-MOST_DATAGRAM = 8 * 1024  # bytes
+PROTOCOL_VERSION = 1
+MAX_FRAME_BYTES = 512 * 1024  # bytes: all records of a fleet of some thousands
+MAX_DATAGRAM_BYTES = 8 * 1024  # bytes
 
 ENCODE = msgspec.msgpack.Encoder().encode
 
@@ -17,8 +17,8 @@
     """The first frame each way: who speaks, and by what its numbers are told from those of an earlier time."""
 
     address: str
-    version: int = VERSION
-    run: int = 0
+    version: int = PROTOCOL_VERSION
+    sequence_id: int = msgspec.field(default=0, name="run")
 
 
 class Numbered(msgspec.Struct, frozen=True, tag="n"):
--- a/lotuspick/transport/peers/peer_connections.py
+++ b/lotuspick/transport/peers/peer_connections.py
@@ -22,113 +22,132 @@
 from twisted.internet import protocol
 
 from lotuspick.membership.model import Message
-from lotuspick.protocol.endpoint_events import address as split
+from lotuspick.protocol.endpoint_events import address as parse_address
 from lotuspick.protocol.errors import ProtocolError
-from lotuspick.transport.peers.datagrams import Datagrams
-from lotuspick.transport.peers.frames import DATAGRAM, ENCODE, FRAME, MOST_DATAGRAM, Envelope, Hello, Numbered
-from lotuspick.transport.peers.peer_channel import MOST_WAITING, Line
-from lotuspick.transport.peers.peer_connection import Connection
+from lotuspick.transport.peers.datagrams import PeerDatagrams
+from lotuspick.transport.peers.frames import (
+    DATAGRAM,
+    ENCODE,
+    FRAME,
+    MAX_DATAGRAM_BYTES,
+    Envelope,
+    Hello,
+    Numbered,
+)
+from lotuspick.transport.peers.peer_channel import MAX_QUEUED_MESSAGES, PeerChannel
+from lotuspick.transport.peers.peer_connection import PeerConnection
 from lotuspick.transport.sockets import Reactor
 
-__all__ = ["DATAGRAM", "ENCODE", "FRAME", "Envelope", "Hello", "Numbered", "Peers"]
+__all__ = ["DATAGRAM", "ENCODE", "FRAME", "Envelope", "Hello", "Numbered", "PeerConnections"]
 
 log = logging.getLogger(__name__)
 
-MOST_PEERS = 2_000  # lines, and connections of those that have not said who they are
-IDLE_S = 60.0  # a connection that carries nothing for so long is closed
+MAX_PEERS = 2_000  # channels, and connections of those that have not said who they are
+IDLE_TIMEOUT_S = 60.0  # a connection that carries nothing for so long is closed
 
-Take = Callable[[str, Any], None]
+MessageHandler = Callable[[str, Any], None]
 
 
-class Peers:
-    """All links of one broker. ``take`` is called with the address of a peer and its message; ``via`` names where a
-    peer is reached that is not reached at its own address; ``run`` tells this process from others of its address."""
+class PeerConnections:
+    """All links of one broker. ``on_message`` is called with the address of a peer and its message; ``via`` names where a
+    peer is reached that is not reached at its own address; ``process_id`` tells this process from others of its address."""
 
     def __init__(
-        self, reactor: Reactor, host: str, take: Take, via: Mapping[str, str] | None = None, run: int = 0
+        self,
+        reactor: Reactor,
+        host: str,
+        on_message: MessageHandler,
+        via: Mapping[str, str] | None = None,
+        process_id: int = 0,
     ) -> None:
-        self.reactor, self.host, self.take, self.via, self.run = reactor, host, take, via or {}, run
+        self.reactor, self.host, self.on_message, self.via, self.process_id = (
+            reactor,
+            host,
+            on_message,
+            via or {},
+            process_id,
+        )
         self.address = ""
-        self.made = 0
-        self.lines: dict[str, Line] = {}
-        self.open: dict[Connection, Any] = {}
+        self.channels_made = 0
+        self.channels: dict[str, PeerChannel] = {}
+        self.connections: dict[PeerConnection, Any] = {}
         self.counts: Counter[str] = Counter()
         self.closed = False
-        self._faults: dict[str, str] = {}
-        self.places: dict[str, tuple[str, int]] = {}
-        self._datagrams = Datagrams(self)
+        self.logged_errors: dict[str, str] = {}
+        self.endpoints: dict[str, tuple[str, int]] = {}
+        self.datagrams = PeerDatagrams(self)
         self._ports: list[Any] = []
 
     def listen(self, port: int = 0) -> str:
         """Take connections and datagrams on one port of the host's; returns the address. Raises Twisted's
         ``CannotListenError`` where the port is taken."""
-        factory: Any = protocol.Factory.forProtocol(lambda: Connection(self))
+        factory: Any = protocol.Factory.forProtocol(lambda: PeerConnection(self))
         streams = self.reactor.listenTCP(port, factory, interface=self.host)
         self._ports = [streams]
         number = streams.getHost().port
         self._ports.append(
-            self.reactor.listenUDP(number, self._datagrams, interface=self.host, maxPacketSize=65_536)
+            self.reactor.listenUDP(number, self.datagrams, interface=self.host, maxPacketSize=65_536)
         )
         self.address = f"{self.host}:{number}"
         return self.address
 
-    def line(self, peer: str) -> Line | None:
-        """The line of a peer; None where there are too many."""
-        if peer not in self.lines:
-            if len(self.lines) >= MOST_PEERS:
+    def channel(self, peer: str) -> PeerChannel | None:
+        """The channel of a peer; None where there are too many."""
+        if peer not in self.channels:
+            if len(self.channels) >= MAX_PEERS:
                 return None
-            self.lines[peer] = Line(self, peer)
-        return self.lines[peer]
+            self.channels[peer] = PeerChannel(self, peer)
+        return self.channels[peer]
 
-    def send(self, peer: str, message: Message, sure: bool) -> bool:
+    def send(self, peer: str, message: Message, reliable: bool) -> bool:
         """Send a message; false where it was refused at once: too much waits for the peer, or it is too large."""
         if self.closed:
             return False
-        if not sure:
+        if not reliable:
             datagram = ENCODE(Envelope(self.address, message))
-            if len(datagram) <= MOST_DATAGRAM:
+            if len(datagram) <= MAX_DATAGRAM_BYTES:
                 try:
-                    self._datagrams.transport.write(datagram, self._place(peer))
+                    self.datagrams.transport.write(datagram, self._endpoint(peer))
                 except (OSError, ProtocolError):
                     self.counts["not-sent"] += 1
                 return True
-        line = self.line(peer)
-        return line is not None and line.send(message)
-
-    def _place(self, peer: str) -> tuple[str, int]:
-        place = self.places.get(peer)
-        if place is None:
-            if len(self.places) >= MOST_PEERS:
-                self.places.clear()
-            place = self.places[peer] = split(self.via.get(peer, peer))
-        return place
-
-    def gone(self, peer: str) -> None:
+        channel = self.channel(peer)
+        return channel is not None and channel.send(message)
+
+    def _endpoint(self, peer: str) -> tuple[str, int]:
+        endpoint = self.endpoints.get(peer)
+        if endpoint is None:
+            if len(self.endpoints) >= MAX_PEERS:
+                self.endpoints.clear()
+            endpoint = self.endpoints[peer] = parse_address(self.via.get(peer, peer))
+        return endpoint
+
+    def disconnect(self, peer: str) -> None:
         """A peer is believed to be dead or has left."""
-        if peer in self.lines:
-            self.lines[peer].drop()
+        if peer in self.channels:
+            self.channels[peer].disconnect()
 
-    def fault(self, peer: str, what: str) -> None:
+    def report_malformed(self, peer: str, what: str) -> None:
         """What no broker would send: counted, and logged once a peer and kind."""
         self.counts["malformed"] += 1
-        if self._faults.get(peer) != what and len(self._faults) < MOST_WAITING:
-            self._faults[peer] = what
+        if self.logged_errors.get(peer) != what and len(self.logged_errors) < MAX_QUEUED_MESSAGES:
+            self.logged_errors[peer] = what
             log.warning("peer sent what cannot be used", extra={"peer": peer, "fault": what[:200]})
 
-    def sweep(self) -> None:
-        """Now and then: let go of lines that carry nothing."""
+    def close_idle(self) -> None:
+        """Now and then: let go of channels that carry nothing."""
         now_s = self.reactor.seconds()
-        for peer, line in list(self.lines.items()):
-            if not line.waiting and now_s - line.used_s > IDLE_S:
-                if line.connection is not None:
-                    line.connection.transport.loseConnection()
+        for peer, channel in list(self.channels.items()):
+            if not channel.queue and now_s - channel.last_used_s > IDLE_TIMEOUT_S:
+                if channel.connection is not None:
+                    channel.connection.transport.loseConnection()
                 else:
-                    del self.lines[peer]
+                    del self.channels[peer]
 
     def close(self) -> None:
         """Take and send nothing more; what was written leaves."""
         self.closed = True
         for port in self._ports:
             port.stopListening()
-        for connection in list(self.open):
+        for connection in list(self.connections):
             connection.transport.loseConnection()
--- a/lotuspick/transport/peers/state_machine_driver.py
+++ b/lotuspick/transport/peers/state_machine_driver.py
@@ -33,8 +33,8 @@
 
 log = logging.getLogger(__name__)
 
-AGAIN_S = 1.0  # between tries of a write that the disk did not take
-Keep = Callable[[Sequence[tuple[str, bytes]], CommitCallback], None]
+WRITE_RETRY_S = 1.0  # between tries of a write that the disk did not take
+PersistRecords = Callable[[Sequence[tuple[str, bytes]], CommitCallback], None]
 """Writes records, all or nothing, and calls back where the decisions are made."""
 
 
@@ -43,29 +43,29 @@
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000
 
 
-class Driver:
-    """Drives one machine. ``send`` carries a message out and ``tell`` takes its news; neither may step it by itself.
-    ``fired`` is called after each timer's step."""
+class StateMachineDriver:
+    """Drives one machine. ``send`` carries a message out and ``notify`` takes its news; neither may step it by itself.
+    ``on_timer_step`` is called after each timer's step."""
 
     def __init__(
         self,
         reactor: Reactor,
         machine: StateMachine,
-        keep: Keep,
+        persist: PersistRecords,
         send: Callable[[SendMessage], object],
-        tell: Callable[[Any], None],
+        notify: Callable[[Any], None],
         clock: Callable[[], int] = awake_us,
-        fired: Callable[[], None] = lambda: None,
+        on_timer_step: Callable[[], None] = lambda: None,
     ) -> None:
         self.reactor, self.machine, self.clock = reactor, machine, clock
-        self.keep, self.send, self.tell, self.fired = keep, send, tell, fired
+        self.persist, self.send, self.notify, self.on_timer_step = persist, send, notify, on_timer_step
         self.write_error: StoreError | None = None
         """Why the disk does not take what is written; None: it does."""
-        self._outbox = EffectQueue()
+        self._effects = EffectQueue()
         self._unwritten: list[
             tuple[str, bytes]
         ] = []  # in order; the first so many are on their way to the disk
-        self._writing = 0
+        self._in_flight = 0
         self._timers: dict[str, tuple[int, Any]] = {}  # when each is due, and the call that waits for it
         self._events: deque[Event] = deque()
         self._stepping = self._closed = False
@@ -73,13 +73,13 @@
     # ---- events -------------------------------------------------------------------------------------------
 
     def start(self, records: dict[str, bytes], seed: int) -> None:
-        self._happens(ProcessStarted(records, seed))
+        self._dispatch(ProcessStarted(records, seed))
 
-    def heard(self, peer: str, message: Any) -> None:
-        self._happens(MessageReceived(peer, message))
+    def receive_message(self, peer: str, message: Any) -> None:
+        self._dispatch(MessageReceived(peer, message))
 
-    def ask(self, what: Any) -> None:
-        self._happens(CommandReceived(what))
+    def submit_command(self, command: Any) -> None:
+        self._dispatch(CommandReceived(command))
 
     def close(self) -> None:
         """No timer fires any more, and nothing is sent."""
@@ -89,7 +89,7 @@
                 call.cancel()
         self._timers.clear()
 
-    def _happens(self, event: Event) -> None:
+    def _dispatch(self, event: Event) -> None:
         """One event after another: what an effect brings about waits until all effects before it are carried out."""
         self._events.append(event)
         if self._stepping:
@@ -97,7 +97,7 @@
         self._stepping = True
         try:
             while self._events and not self._closed:
-                self._carry_out(self._outbox.add(self.machine.step(self.clock(), self._events.popleft())))
+                self._carry_out(self._effects.add(self.machine.step(self.clock(), self._events.popleft())))
         finally:
             self._stepping = False
 
@@ -111,20 +111,20 @@
                 case SendMessage():
                     self.send(effect)
                 case StartTimer(timer=timer, delay_us=delay_us):
-                    self._set(timer, self.clock() + delay_us)
+                    self._start_timer(timer, self.clock() + delay_us)
                 case Notify(notification=news):
-                    self.tell(news)
+                    self.notify(news)
         self._write()
 
     def _write(self) -> None:
         """One batch is on its way at a time, so that no later write lasts before an earlier one."""
-        if self._writing or not self._unwritten or self._closed:
+        if self._in_flight or not self._unwritten or self._closed:
             return
-        self._writing = len(self._unwritten)
-        self.keep(tuple(self._unwritten), self._written)
+        self._in_flight = len(self._unwritten)
+        self.persist(tuple(self._unwritten), self._written)
 
     def _written(self, error: StoreError | None) -> None:
-        count, self._writing = self._writing, 0
+        count, self._in_flight = self._in_flight, 0
         if self._closed:
             return
         if error is not None:
@@ -133,29 +133,29 @@
                     "a record does not last, nothing that rests on it is said", extra={"fault": str(error)}
                 )
             self.write_error = error
-            self.reactor.callLater(AGAIN_S, self._write)
+            self.reactor.callLater(WRITE_RETRY_S, self._write)
             return
         self.write_error = None
         del self._unwritten[:count]
-        last = self._outbox.committed + count
-        first = self._outbox.committed + 1
-        self._carry_out(self._outbox.commit(last))
+        last = self._effects.committed + count
+        first = self._effects.committed + 1
+        self._carry_out(self._effects.commit(last))
         for write in range(first, last + 1):
-            self._happens(WriteCommitted(write))
+            self._dispatch(WriteCommitted(write))
         self._write()
 
-    def _set(self, timer: str, due_us: int) -> None:
+    def _start_timer(self, timer: str, due_us: int) -> None:
         if timer in self._timers and self._timers[timer][1].active():
             self._timers[timer][1].cancel()
         self._timers[timer] = (
             due_us,
-            self.reactor.callLater(max(0, due_us - self.clock()) / 1e6, self._fire, timer),
+            self.reactor.callLater(max(0, due_us - self.clock()) / 1e6, self._on_timer_due, timer),
         )
 
-    def _fire(self, timer: str) -> None:
+    def _on_timer_due(self, timer: str) -> None:
         due_us, _ = self._timers.pop(timer)
         if self.clock() < due_us:  # the reactor's clock is another one: late it may be, never early
-            self._set(timer, due_us)
+            self._start_timer(timer, due_us)
             return
-        self._happens(TimerFired(timer))
-        self.fired()
+        self._dispatch(TimerFired(timer))
+        self.on_timer_step()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -14,16 +14,16 @@
 from twisted.python.failure import Failure
 
 from lotuspick.membership.model import Ack, Digest, Ping, Record, Sync
-from lotuspick.transport.peers.frames import MOST_FRAME, Envelope, Hello, Numbered
-from lotuspick.transport.peers.peer_channel import AGAIN_S, LINGER_S, MOST_WAITING
-from lotuspick.transport.peers.peer_connection import HELLO_S, Connection
-from lotuspick.transport.peers.peer_connections import IDLE_S, Peers
+from lotuspick.transport.peers.frames import MAX_FRAME_BYTES, Envelope, Hello, Numbered
+from lotuspick.transport.peers.peer_channel import INITIAL_BACKOFF_S, LINGER_S, MAX_QUEUED_MESSAGES
+from lotuspick.transport.peers.peer_connection import HELLO_TIMEOUT_S, PeerConnection
+from lotuspick.transport.peers.peer_connections import IDLE_TIMEOUT_S, PeerConnections
 
 ROOT = Path(__file__).parent.parent
 LOOPBACK = """
 from twisted.internet import reactor
 from lotuspick.membership.model import Ack, Digest
-from lotuspick.transport.peers.peer_connections import Peers
+from lotuspick.transport.peers.peer_connections import PeerConnections
 heard = []
 def take(peer, message):
     heard.append((peer, message))
@@ -34,7 +34,7 @@
         print("all in order"), one.close(), two.close(), reactor.callLater(0.05, reactor.stop)
     elif not datagrams:
         one.send(two.address, Ack(1), False)
-one, two = Peers(reactor, "127.0.0.1", take), Peers(reactor, "127.0.0.1", take)
+one, two = PeerConnections(reactor, "127.0.0.1", take), PeerConnections(reactor, "127.0.0.1", take)
 one.listen(), two.listen()
 told = 0
 def more():
@@ -75,7 +75,7 @@
     def setUp(self) -> None:
         self.reactor = MemoryReactorClock()
         self.heard: list[tuple[str, Any]] = []
-        self.peers = Peers(
+        self.peers = PeerConnections(
             self.reactor, "127.0.0.1", lambda peer, message: self.heard.append((peer, message))
         )
         self.peers.address = "127.0.0.1:1"
@@ -86,12 +86,12 @@
         made = factory.buildProtocol(None)
         made.makeConnection(Pipe())
         if greeted:
-            made._wrappedProtocol.dataReceived(framed(Hello(made._wrappedProtocol.line.peer, 1, 7)))
+            made._wrappedProtocol.dataReceived(framed(Hello(made._wrappedProtocol.channel.peer, 1, 7)))
         return made._wrappedProtocol
 
     def inbound(self, address: str = "", run: int = 7) -> Any:
         """A connection that a peer has dialled, and on which it has said who it is."""
-        made = Connection(self.peers)
+        made = PeerConnection(self.peers)
         made.makeConnection(Pipe())
         if address:
             made.dataReceived(framed(Hello(address, 1, run)))
@@ -110,7 +110,7 @@
         for number in range(1, 4):
             self.assertTrue(self.say("127.0.0.1:2", number))
         self.assertEqual(len(self.reactor.tcpClients), 1)
-        run = self.peers.lines["127.0.0.1:2"].run
+        run = self.peers.channels["127.0.0.1:2"].sequence_id
         hello = framed(Hello("127.0.0.1:1", 1, run))
         made = self.dialled(greeted=False)
         self.assertEqual(made.transport.value(), hello)  # nothing is said to whoever does not say who it is
@@ -167,12 +167,12 @@
         line = self.dialled()
         line.pauseProducing()  # its buffers are full
         before = len(line.transport.value())
-        taken = sum(self.say("127.0.0.1:2", number) for number in range(MOST_WAITING + 50))
-        self.assertEqual((taken, self.peers.counts["refused"]), (MOST_WAITING, 50))
+        taken = sum(self.say("127.0.0.1:2", number) for number in range(MAX_QUEUED_MESSAGES + 50))
+        self.assertEqual((taken, self.peers.counts["refused"]), (MAX_QUEUED_MESSAGES, 50))
         self.assertEqual(len(line.transport.value()), before)
         self.assertTrue(self.say("127.0.0.1:3", 1))
         line.resumeProducing()
-        self.assertFalse(self.peers.lines["127.0.0.1:2"].waiting)
+        self.assertFalse(self.peers.channels["127.0.0.1:2"].queue)
 
     def test_what_waits_goes_out_on_the_next_connection(self) -> None:
         self.say("127.0.0.1:2", 1)
@@ -180,14 +180,14 @@
         line.pauseProducing()
         self.say("127.0.0.1:2", 2)
         line.connectionLost(Failure(error.ConnectionLost()))
-        self.reactor.advance(AGAIN_S)
+        self.reactor.advance(INITIAL_BACKOFF_S)
         self.assertIn(numbered(1, 2), self.dialled().transport.value())
 
     def test_a_peer_that_takes_no_connection_is_given_up_and_dialled_for_the_next(self) -> None:
         self.say("127.0.0.1:2", 0)
         self.reactor.tcpClients[-1][2].clientConnectionFailed(None, Failure(error.ConnectionRefusedError()))
         self.assertEqual(
-            (self.peers.counts["not-dialled"], len(self.peers.lines["127.0.0.1:2"].waiting)), (1, 0)
+            (self.peers.counts["not-dialled"], len(self.peers.channels["127.0.0.1:2"].queue)), (1, 0)
         )
         self.say("127.0.0.1:2", 1)
         self.assertEqual(len(self.reactor.tcpClients), 2)
@@ -195,7 +195,7 @@
     def test_a_peer_that_is_gone_is_let_go_and_reached_elsewhere_if_told_so(self) -> None:
         self.say("127.0.0.1:2", 0)
         line = self.dialled()
-        self.peers.gone("127.0.0.1:2")
+        self.peers.disconnect("127.0.0.1:2")
         self.assertTrue(line.transport.disconnected or line.transport.aborting)
         self.peers.via = {"127.0.0.1:3": "127.0.0.1:33"}
         self.say("127.0.0.1:3", 0)
@@ -207,7 +207,7 @@
 
     def test_one_that_does_not_say_who_it_is_is_let_go(self) -> None:
         made, told = self.inbound(), self.inbound("127.0.0.1:2")
-        self.reactor.advance(HELLO_S + 1)
+        self.reactor.advance(HELLO_TIMEOUT_S + 1)
         self.assertTrue(made.transport.disconnected or made.transport.aborting)
         self.assertFalse(told.transport.disconnected or told.transport.aborting)
 
@@ -216,7 +216,7 @@
             numbered(1),
             framed(Hello("nowhere")),
             b"\x00\x00\x00\x01\xc1",
-            (MOST_FRAME + 1).to_bytes(4, "big"),
+            (MAX_FRAME_BYTES + 1).to_bytes(4, "big"),
             framed({"type": "unheard of"}),
             framed({"type": "n", "number": "one"}),
             framed(Hello("127.0.0.1:1")),
@@ -227,7 +227,7 @@
                 with self.assertLogs("lotuspick.transport.peers.peer_connections", "WARNING"):
                     made.dataReceived(each)
                 self.assertTrue(made.transport.disconnected or made.transport.aborting)
-                self.peers._faults.clear()
+                self.peers.logged_errors.clear()
         self.assertEqual((self.heard, self.peers.counts["malformed"]), ([], len(spoilt)))
 
     def test_a_newer_schema_is_understood(self) -> None:
@@ -252,14 +252,14 @@
             def write(self, datagram: bytes, to: Any) -> None:
                 self.sent.append((datagram, to))
 
-        self.peers._datagrams.transport = Wire()
+        self.peers.datagrams.transport = Wire()
         self.assertTrue(self.peers.send("127.0.0.1:2", Ping(4), False))
         self.assertEqual(Wire.sent[0][1], ("127.0.0.1", 2))
-        self.peers._datagrams.datagramReceived(
+        self.peers.datagrams.datagramReceived(
             msgspec.msgpack.encode(Envelope("127.0.0.1:2", Ping(5))), ("127.0.0.1", 9)
         )
         for spoilt in (b"\xc1", b"x" * 10_000, msgspec.msgpack.encode(Envelope("nowhere", Ping(5)))):
-            self.peers._datagrams.datagramReceived(spoilt, ("127.0.0.1", 9))
+            self.peers.datagrams.datagramReceived(spoilt, ("127.0.0.1", 9))
         self.assertEqual((self.heard, self.peers.counts["malformed"]), ([("127.0.0.1:2", Ping(5))], 3))
         large = Sync([Record(f"b{at}", 1, at, address="127.0.0.1:9") for at in range(400)])
         self.peers.send("127.0.0.1:2", large, False)  # one too large for a datagram goes in order
@@ -268,15 +268,15 @@
     def test_lines_that_carry_nothing_are_let_go(self) -> None:
         self.say("127.0.0.1:2", 0)
         line = self.dialled()
-        self.reactor.advance(IDLE_S + 1)
-        self.peers.sweep()
+        self.reactor.advance(IDLE_TIMEOUT_S + 1)
+        self.peers.close_idle()
         self.assertTrue(line.transport.disconnecting)
         line.connectionLost(Failure(error.ConnectionDone()))
-        before = self.peers.lines["127.0.0.1:2"].run
-        self.peers.sweep()
-        self.assertEqual(self.peers.lines, {})
+        before = self.peers.channels["127.0.0.1:2"].sequence_id
+        self.peers.close_idle()
+        self.assertEqual(self.peers.channels, {})
         self.say("127.0.0.1:2", 0)  # its numbers begin anew, and it says so
-        self.assertNotEqual(self.peers.lines["127.0.0.1:2"].run, before)
+        self.assertNotEqual(self.peers.channels["127.0.0.1:2"].sequence_id, before)
 
 
 if __name__ == "__main__":
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -29,7 +29,7 @@
     TimerFired,
     WriteCommitted,
 )
-from lotuspick.transport.peers.state_machine_driver import Driver
+from lotuspick.transport.peers.state_machine_driver import StateMachineDriver
 from lotuspick.transport.storage.durable_store import StateMachineStore
 from lotuspick.transport.storage.errors import StoreError
 from lotuspick.transport.storage.group_commit import CommitCallback, GroupCommit
@@ -99,7 +99,7 @@
         self.disk: dict[str, bytes] = {}
         self.waiting: list[tuple[Sequence[tuple[str, bytes]], CommitCallback]] = []
         self.full = False
-        self.driver = Driver(
+        self.driver = StateMachineDriver(
             self.clock,
             self.machine,
             self._keep,
@@ -121,7 +121,7 @@
         done(StoreError("full") if self.full else None)
 
     def ask(self, what: str) -> None:
-        self.driver.ask(what)
+        self.driver.submit_command(what)
 
     def pass_s(self, seconds: float) -> None:
         for _ in range(int(seconds * 1_000)):
