--- a/lotuspick/transport/peers/datagrams.py
+++ b/lotuspick/transport/peers/datagrams.py
@@ -1,4 +1,4 @@
-"""What may be lost."""
+"""Messages between brokers that may be lost: one UDP datagram each."""
 
 from __future__ import annotations
 
@@ -9,31 +9,33 @@
 
 from lotuspick.protocol.endpoint_events import address as parse_address
 from lotuspick.protocol.errors import ProtocolError
-from lotuspick.transport.peers.frames import DATAGRAM, MAX_DATAGRAM_BYTES
+from lotuspick.transport.peers.frames import DATAGRAM, MAX_DATAGRAM_BYTES, Envelope
 
 if TYPE_CHECKING:
     from lotuspick.transport.peers.peer_connections import PeerConnections
 
 
 class PeerDatagrams(protocol.DatagramProtocol):
-    """What may be lost."""
+    """The UDP socket of one broker."""
 
     transport: Any
 
     def __init__(self, peers: PeerConnections) -> None:
         self.peers = peers
 
-    def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        if len(datagram) > MAX_DATAGRAM_BYTES:
-            self.peers.report_malformed(
-                str(addr[0]), f"a datagram of {len(datagram)} bytes, over {MAX_DATAGRAM_BYTES}"
-            )
-            return
+    def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
+        """Take a datagram (Twisted's callback); ``addr`` is only where it was sent from."""
         try:
-            told = DATAGRAM.decode(datagram)
-            if told.sender not in self.peers.endpoints:
-                parse_address(told.sender)
-        except (msgspec.DecodeError, ProtocolError) as fault:
-            self.peers.report_malformed(str(addr[0]), str(fault))
+            envelope = self._decode(datagram)
+        except (msgspec.DecodeError, ProtocolError) as error:
+            self.peers.report_malformed(str(addr[0]), str(error))
             return
-        self.peers.on_message(told.sender, told.message)
+        self.peers.on_message(envelope.sender, envelope.message)
+
+    def _decode(self, datagram: bytes) -> Envelope:
+        if len(datagram) > MAX_DATAGRAM_BYTES:
+            raise ProtocolError(f"a datagram of {len(datagram)} bytes, over {MAX_DATAGRAM_BYTES}")
+        envelope = DATAGRAM.decode(datagram)
+        if envelope.sender not in self.peers.endpoints:  # what was sent to has been parsed already
+            parse_address(envelope.sender)
+        return envelope
--- a/lotuspick/transport/peers/peer_connection.py
+++ b/lotuspick/transport/peers/peer_connection.py
@@ -1,4 +1,8 @@
-"""One connection between two brokers."""
+"""One TCP connection between two brokers, dialled by either side.
+
+Frames are Twisted's ``Int32StringReceiver``. Each side first sends a :class:`Hello`; a connection on which
+another frame comes first is closed.
+"""
 
 from __future__ import annotations
 
@@ -13,79 +17,90 @@
 from lotuspick.protocol.endpoint_events import address as parse_address
 from lotuspick.protocol.errors import ProtocolError
 from lotuspick.transport.peers.frames import ENCODE, FRAME, MAX_FRAME_BYTES, PROTOCOL_VERSION, Hello
+from lotuspick.transport.peers.link_counter import LinkCounter
 
 if TYPE_CHECKING:
     from lotuspick.transport.peers.peer_channel import PeerChannel
     from lotuspick.transport.peers.peer_connections import PeerConnections
 
-HELLO_TIMEOUT_S = 2.0  # one that has not said who it is by then, too
-UNACKNOWLEDGED_TIMEOUT_MS = (
-    5_000  # so long nothing that was written is acknowledged before the kernel gives a connection up
-)
+HELLO_TIMEOUT_S = 2.0  # a connection without a hello is closed after so long
+UNACKNOWLEDGED_TIMEOUT_MS = 5_000  # the kernel drops a connection whose data is not acknowledged for so long
+UNKNOWN_PEER = "unknown"
 
 
 class PeerConnection(Int32StringReceiver):
-    """One connection with a peer, dialled by either side. ``channel`` is None until an accepted one has said who it is."""
+    """One connection with a peer; it is the producer of its own transport, which tells it when to pause.
+
+    ``channel`` is None until an accepted connection has received its hello.
+    """
 
     MAX_LENGTH = MAX_FRAME_BYTES
     transport: Any
 
     def __init__(self, peers: PeerConnections, channel: PeerChannel | None = None) -> None:
-        self.peers, self.channel, self.dialled, self.peer_sequence_id = peers, channel, channel is not None, 0
-        self.greeted = self.paused = False
+        self.peers, self.channel = peers, channel
+        self.dialled = channel is not None  # by this side
+        self.peer_sequence_id = 0
+        self.greeted = False  # the peer's hello has come
+        self.paused = False  # the transport's buffer is full
 
     def connectionMade(self) -> None:
+        """Set up the socket and greet a dialled peer (Twisted's callback)."""
         self.transport.setTcpNoDelay(True)
         handle = self.transport.getHandle()
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
         self.transport.registerProducer(self, True)
-        self.peers.connections[self] = self.peers.reactor.callLater(HELLO_TIMEOUT_S, self._on_hello_timeout)
+        hello_timer = self.peers.reactor.callLater(HELLO_TIMEOUT_S, self._on_hello_timeout)
+        self.peers.connections[self] = hello_timer
         if self.channel is not None:
             self._send_hello(self.channel)
             self.channel.pending_connection = self
 
-    def _send_hello(self, channel: PeerChannel) -> None:
-        self.sendString(ENCODE(Hello(self.peers.address, PROTOCOL_VERSION, channel.sequence_id)))
-
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
-        waiting = self.peers.connections.pop(self, None)
-        if waiting is not None and waiting.active():
-            waiting.cancel()
+        """Forget the connection (Twisted's callback)."""
+        del reason
+        hello_timer = self.peers.connections.pop(self, None)
+        if hello_timer is not None and hello_timer.active():
+            hello_timer.cancel()
         if self.channel is not None:
             self.channel.connection_lost(self)
 
-    def _on_hello_timeout(self) -> None:
-        self.peers.counts["mute"] += 1
-        self.transport.abortConnection()
-
     def lengthLimitExceeded(self, length: int) -> None:
-        self._abort(f"a frame of {length} bytes, over {MAX_FRAME_BYTES}")
+        """Close for a frame that is too long (Twisted's callback)."""
+        self._abort_malformed(f"a frame of {length} bytes, over {MAX_FRAME_BYTES}")
 
     def stringReceived(self, string: bytes) -> None:
+        """Take one frame (Twisted's callback)."""
         try:
             frame = FRAME.decode(string)
             if isinstance(frame, Hello):
                 self._on_hello(frame)
                 return
-            if not self.greeted or self.channel is None:
-                raise ProtocolError("no hello")
-        except (msgspec.DecodeError, ProtocolError) as fault:
-            self._abort(str(fault))
+            channel = self._greeted_channel()
+        except (msgspec.DecodeError, ProtocolError) as error:
+            self._abort_malformed(str(error))
             return
-        self.channel.receive(self, frame)
+        channel.receive(self, frame)
+
+    def _greeted_channel(self) -> PeerChannel:
+        if not self.greeted or self.channel is None:
+            raise ProtocolError("no hello")
+        return self.channel
+
+    # ---- hello --------------------------------------------------------------------------------------------
+
+    def _send_hello(self, channel: PeerChannel) -> None:
+        self.sendString(ENCODE(Hello(self.peers.address, PROTOCOL_VERSION, channel.sequence_id)))
+
+    def _on_hello_timeout(self) -> None:
+        self.peers.counts[LinkCounter.HELLO_TIMEOUT] += 1
+        self.transport.abortConnection()
 
     def _on_hello(self, hello: Hello) -> None:
-        parse_address(hello.address)
-        if self.channel is not None and self.channel.peer != hello.address:
-            raise ProtocolError(f"{hello.address} answers at the address of {self.channel.peer}")
-        channel = self.channel or self.peers.channel(hello.address)
-        if channel is None or hello.address == self.peers.address:
-            raise ProtocolError(
-                "one peer too many" if channel is None else "it has this broker's own address"
-            )
-        waiting = self.peers.connections[self]
-        if waiting.active():
-            waiting.cancel()
+        channel = self._channel_of(hello)
+        hello_timer = self.peers.connections[self]
+        if hello_timer.active():
+            hello_timer.cancel()
         self.greeted, self.peer_sequence_id = True, hello.sequence_id
         if self.channel is None:
             self.channel = channel
@@ -93,19 +108,39 @@
         channel.accept_sequence(self)
         channel.connection_ready(self)
 
-    def _abort(self, what: str) -> None:
-        self.peers.report_malformed(self.channel.peer if self.channel is not None else "unknown", what)
+    def _channel_of(self, hello: Hello) -> PeerChannel:
+        """The channel of the peer that greets.
+
+        Raises:
+            ProtocolError: the peer is not who it has to be, or there are too many.
+        """
+        parse_address(hello.address)
+        if self.channel is not None and self.channel.peer != hello.address:
+            raise ProtocolError(f"{hello.address} answers at the address of {self.channel.peer}")
+        channel = self.channel or self.peers.channel(hello.address)
+        if channel is None:
+            raise ProtocolError("one peer too many")
+        if hello.address == self.peers.address:
+            raise ProtocolError("it has this broker's own address")
+        return channel
+
+    def _abort_malformed(self, error: str) -> None:
+        peer = self.channel.peer if self.channel is not None else UNKNOWN_PEER
+        self.peers.report_malformed(peer, error)
         self.transport.abortConnection()
 
-    # ---- the transport's producer: it tells when its buffer is full and when it has room again ------------
+    # ---- backpressure -------------------------------------------------------------------------------------
 
     def pauseProducing(self) -> None:
+        """Stop writing, as the transport's buffer is full (Twisted's callback)."""
         self.paused = True
 
     def resumeProducing(self) -> None:
+        """Write again, as the transport's buffer has space (Twisted's callback)."""
         self.paused = False
         if self.channel is not None:
             self.channel.flush()
 
     def stopProducing(self) -> None:
+        """Stop writing for good, as the connection is lost (Twisted's callback)."""
         self.paused = True
