--- a/lotuspick/transport/peers/peer_connections.py
+++ b/lotuspick/transport/peers/peer_connections.py
@@ -161,9 +161,7 @@
         self.counts[LinkCounter.MALFORMED] += 1
         if self.logged_errors.get(peer) != error and len(self.logged_errors) < MAX_LOGGED_PEERS:
             self.logged_errors[peer] = error
-            log.warning(
-                "peer sent what cannot be used", extra={"peer": peer, "fault": error[:MAX_LOGGED_CHARS]}
-            )
+            log.warning("peer_message_malformed", extra={"peer": peer, "error": error[:MAX_LOGGED_CHARS]})
 
     def close_idle(self) -> None:
         """Close idle connections, and forget idle channels that have none; called periodically."""
--- a/lotuspick/transport/peers/state_machine_driver.py
+++ b/lotuspick/transport/peers/state_machine_driver.py
@@ -168,7 +168,7 @@
     def _on_write_failed(self, error: StoreError) -> None:
         """Retry; nothing that rests on the write leaves until then. Log it if it is another error."""
         if self.write_error is None or str(error) != str(self.write_error):
-            log.error("a record does not last, nothing that rests on it is said", extra={"fault": str(error)})
+            log.error("record_write_failed", extra={"error": str(error)})
         self.write_error = error
         self.reactor.callLater(WRITE_RETRY_S, self._write)
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -224,8 +224,11 @@
         for each in spoilt:
             with self.subTest(each[:20]):
                 made = self.inbound("" if each in (spoilt[0], spoilt[1], spoilt[-1]) else "127.0.0.1:2")
-                with self.assertLogs("lotuspick.transport.peers.peer_connections", "WARNING"):
+                with self.assertLogs("lotuspick.transport.peers.peer_connections", "WARNING") as logs:
                     made.dataReceived(each)
+                [line] = logs.records
+                self.assertEqual(line.getMessage(), "peer_message_malformed")
+                self.assertTrue(vars(line)["peer"] in ("unknown", "127.0.0.1:2") and vars(line)["error"])
                 self.assertTrue(made.transport.disconnected or made.transport.aborting)
                 self.peers.logged_errors.clear()
         self.assertEqual((self.heard, self.peers.counts["malformed"]), ([], len(spoilt)))
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -224,6 +224,8 @@
             made.ask("two")
             made.pass_s(3)
         self.assertEqual((made.out, str(made.driver.write_error), len(logs.output)), ([], "full", 1))
+        [line] = logs.records
+        self.assertEqual((line.getMessage(), vars(line)["error"]), ("record_write_failed", "full"))
         made.ask("promise")
         made.full = False
         made.pass_s(3)
