--- a/lotuspick/entitlement/constraints.py
+++ b/lotuspick/entitlement/constraints.py
@@ -27,6 +27,7 @@
 from lotuspick.core.operator_events import OperatorEvent, RateLimitedEvents
 from lotuspick.entitlement.ledger import Ledger, Record, State, Verdict
 from lotuspick.entitlement.model import Seat, TokenError, TokenRejection
+from lotuspick.entitlement.renewal import RenewalCallback, RenewalFailure, RenewalRejection
 from lotuspick.entitlement.request_check import check_request_token
 from lotuspick.entitlement.seat_session import Journal, Rules, SeatSession, SeatTermination
 from lotuspick.entitlement.tokens import TokenVerifier
@@ -284,31 +285,30 @@
 
     # ---- renewal, revocation, lapse -----------------------------------------------------------------------
 
-    def renew(self, now: int, name: str, token: str, done: Callable[[str], None]) -> None:
+    def renew(self, now: int, name: str, token: str, done: RenewalCallback) -> None:
         """Take a newer token for a session that plays.
 
         Args:
             now: clock time (us).
             name: the session.
             token: the newer one.
-            done: called, maybe at once, with the reason of a rejection, or with an empty text once the
-                renewal is durable.
+            done: called, maybe at once, with the rejection, or with None once the renewal is durable.
         """
         session = self.sessions.get(name)
         if session is None or not session.playing:
-            done("session-unknown")
+            done(RenewalRejection(RenewalFailure.SESSION_UNKNOWN))
             return
         try:
             seat = self._check_renewal(session, token)
         except TokenError as error:
-            done(f"token-{error.rejection.value}")
+            done(RenewalRejection(error.rejection))
             return
         valid, record = self.ledger.renew(self.wall(), seat.seat, seat.viewer, seat.epoch, seat.ends_s)
         if not valid:
-            done("seat-lapsed")
+            done(RenewalRejection(RenewalFailure.SEAT_LAPSED))
             return
         if record is None:
-            done("")  # a duplicate, or overtaken by a newer one
+            done(None)  # a duplicate, or overtaken by a newer one
             return
         self.counts["renewed"] += 1
 
@@ -317,7 +317,7 @@
             if error is None:
                 session.seat = seat
                 self._set_lapse(session, now)
-            done("" if error is None else STORE)
+            done(None if error is None else RenewalRejection(RenewalFailure.STORE))
 
         self.journal.submit(record, on_written)
 
--- a/lotuspick/program/components.py
+++ b/lotuspick/program/components.py
@@ -19,12 +19,13 @@
 from lotuspick.core.operator_events import OperatorEvent
 from lotuspick.program.configuration import Config
 from lotuspick.protocol.rtsp import Terms
-from lotuspick.routing.interfaces import EdgeServers, RenewToken, TenantDirectory
+from lotuspick.routing.interfaces import EdgeServers, TenantDirectory
 from lotuspick.routing.messages import InboundMessage, TenantRatesUpdated
 from lotuspick.transport.sockets import Reactor, now_us, readable
 
 if TYPE_CHECKING:
     from lotuspick.cells.model import Plan
+    from lotuspick.entitlement.renewal import RenewToken
 
 log = logging.getLogger(__name__)
 
--- a/lotuspick/program/entitlement.py
+++ b/lotuspick/program/entitlement.py
@@ -11,6 +11,7 @@
 from lotuspick.core.operator_events import OperatorEvent
 from lotuspick.entitlement.constraints import SeatConstraints
 from lotuspick.entitlement.ledger import Ledger, Record
+from lotuspick.entitlement.renewal import RenewalCallback
 from lotuspick.entitlement.tokens import TokenVerifier
 from lotuspick.program.configuration import ConfigError, SeatsConfig
 from lotuspick.routing.messages import InboundMessage, LedgerCommitted, SessionRevoked
@@ -83,7 +84,7 @@
 
     # ---- while it serves ----------------------------------------------------------------------------------
 
-    def renew(self, now: int, session: str, token: str, done: Callable[[str], None]) -> None:
+    def renew(self, now: int, session: str, token: str, done: RenewalCallback) -> None:
         """A renewal from a front; see :meth:`SeatConstraints.renew`."""
         self.guide.renew(now, session, token, done)
 
--- a/lotuspick/transport/http/http_server.py
+++ b/lotuspick/transport/http/http_server.py
@@ -17,7 +17,7 @@
 import logging
 from collections import OrderedDict
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 from urllib.parse import unquote
 
 from twisted.web import http, server
@@ -26,7 +26,6 @@
 from lotuspick.core.events import SessionPlaying
 from lotuspick.protocol import cmcd, rtsp
 from lotuspick.protocol.errors import MOST_BYTES, ProtocolError, session_id
-from lotuspick.routing.interfaces import RenewToken
 from lotuspick.routing.messages import (
     HintReceived,
     InboundMessage,
@@ -35,9 +34,12 @@
 )
 from lotuspick.routing.termination import TerminationReason
 from lotuspick.transport.http.bounded_site import BoundedSite
-from lotuspick.transport.http.http_player import TOKEN_REASON_PREFIX, HttpPlayer, respond
+from lotuspick.transport.http.http_player import HttpPlayer, respond
 from lotuspick.transport.sockets import Reactor, now_us
 
+if TYPE_CHECKING:
+    from lotuspick.entitlement.renewal import RenewalRejection, RenewToken
+
 log = logging.getLogger(__name__)
 
 SETUP_HEADERS = (
@@ -187,12 +189,12 @@
             header(request, rtsp.TOKEN) if has_header(request, rtsp.TOKEN) else ""
         )
 
-        def renewed(error: str) -> None:
-            status = http.NO_CONTENT
-            if error:
-                invalid = error.startswith(TOKEN_REASON_PREFIX)
-                status = http.FORBIDDEN if invalid else http.SERVICE_UNAVAILABLE
-            respond(request, status, error.encode())
+        def renewed(rejection: RenewalRejection | None) -> None:
+            if rejection is None:
+                respond(request, http.NO_CONTENT)
+                return
+            status = http.FORBIDDEN if rejection.token_is_invalid else http.SERVICE_UNAVAILABLE
+            respond(request, status, rejection.text.encode())
 
         self.http_server.renew(session, token, renewed)
         return RESPONDS_LATER
--- a/lotuspick/transport/rtsp/rtsp_connection.py
+++ b/lotuspick/transport/rtsp/rtsp_connection.py
@@ -21,6 +21,7 @@
 from lotuspick.transport.sockets import hung_up, loss_reason, now_us, shut_down
 
 if TYPE_CHECKING:
+    from lotuspick.entitlement.renewal import RenewalRejection
     from lotuspick.transport.rtsp.rtsp_server import RtspServer
 
 log = logging.getLogger(__name__)
@@ -235,9 +236,11 @@
             case "SET_PARAMETER" if self.server.renew is not None:
                 session, token = message.session, message.header(rtsp.TOKEN)
 
-                def renewed(error: str) -> None:
-                    status = rtsp.FORBIDDEN if error else rtsp.SERVED
-                    self._write(rtsp.response(status, cseq, session, why=error))
+                def renewed(rejection: RenewalRejection | None) -> None:
+                    if rejection is None:
+                        self._write(rtsp.response(rtsp.SERVED, cseq, session))
+                    else:
+                        self._write(rtsp.response(rtsp.FORBIDDEN, cseq, session, why=rejection.text))
 
                 self.server.renew(session, token, renewed)
             case _:
--- a/lotuspick/transport/rtsp/rtsp_server.py
+++ b/lotuspick/transport/rtsp/rtsp_server.py
@@ -9,17 +9,20 @@
 import logging
 from collections import Counter
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from twisted.internet import protocol, tcp
 
 from lotuspick.protocol import rtsp
-from lotuspick.routing.interfaces import RenewToken, ViewerConnection
+from lotuspick.routing.interfaces import ViewerConnection
 from lotuspick.routing.messages import InboundMessage, ViewerConnectionClosed, ViewerConnectionOpened
 from lotuspick.routing.termination import TerminationReason
 from lotuspick.transport.rtsp.rtsp_connection import RtspConnection
 from lotuspick.transport.sockets import Reactor, readable
 
+if TYPE_CHECKING:
+    from lotuspick.entitlement.renewal import RenewToken
+
 log = logging.getLogger(__name__)
 
 HEADROOM_DIVISOR = 8  # limit/8 may be open beyond the limit, closing ones included; as many per accept
--- a/tests/test_seats_guide.py
+++ b/tests/test_seats_guide.py
@@ -24,6 +24,7 @@
 from lotuspick.entitlement.constraints import SeatConstraints
 from lotuspick.entitlement.ledger import Ledger, Record, State
 from lotuspick.entitlement.model import Seat
+from lotuspick.entitlement.renewal import RenewalRejection
 from lotuspick.entitlement.seat_session import Rules, WriteCallback
 from lotuspick.entitlement.tokens import sign
 
@@ -194,13 +195,13 @@
     def test_a_seat_lapses_after_its_grace_unless_it_was_renewed_in_it(self) -> None:
         for session, seat, renewed in (("a", "A", False), ("b", "B", True)):
             self.start(session, token=self.token(seat, ends=10))
-            heard: list[str] = []
+            heard: list[RenewalRejection | None] = []
             self.wall = NOW + 10 + 60 + 25
             if renewed:
                 self.guide.renew(self.now, session, self.token(seat, 1, ends=600), heard.append)
                 self.guide.renew(self.now, session, self.token(seat, 1, ends=600), heard.append)
                 self.disk.work()
-                self.assertEqual(heard, ["", ""])
+                self.assertEqual(heard, [None, None])
             self.guide.sweep(self.now + 101 * SECOND)
             self.assertEqual(self.guide.take_terminations(), [] if renewed else [("a", "lapsed")])
             self.wall = float(NOW)
--- a/tests/test_seats_live.py
+++ b/tests/test_seats_live.py
@@ -20,6 +20,7 @@
 from lotuspick.core.events import ServerListUpdate
 from lotuspick.entitlement.ledger import Record, State
 from lotuspick.entitlement.model import Seat
+from lotuspick.entitlement.renewal import RenewalRejection
 from lotuspick.entitlement.seat_session import Rules
 from lotuspick.entitlement.tokens import sign
 from lotuspick.lab.seats.trial import seats as seats_trial
@@ -342,7 +343,7 @@
                 wall=lambda: now[0] / SECOND,
             )
             self.addCleanup(seats.close)
-            library, answers, heard = Library(), list[Answer](), list[str]()
+            library, answers, heard = Library(), list[Answer](), list[RenewalRejection | None]()
             plugin = Plugin(settings(classes=CLASSES), 7, library, clock=lambda: now[0], guide=seats.guide)
             plugin.servers(ServerListUpdate([entry(0)], complete=True))
 
@@ -373,7 +374,7 @@
             until(lambda: len(answers) == 2)
             now[0] += 50 * SECOND
             plugin.change(lambda at: seats.renew(at, "a", token(1), heard.append))
-            until(lambda: heard == [""])
+            until(lambda: heard == [None])
             now[0] += 55 * SECOND
             plugin.change(lambda at: seats.tick(at))
             self.assertEqual(len(answers), 2)
