--- a/tests/test_seat_store.py
+++ b/tests/test_seat_store.py
@@ -37,34 +37,34 @@
 """
 
 
-class Stored(unittest.TestCase):
+class Stores(unittest.TestCase):
     def setUp(self) -> None:
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
         self.path = Path(self.folder.name, "seats")
 
-    def open(self, **changes: int) -> SeatStore:
-        store = SeatStore(self.path, sync=False, **changes)
+    def open(self, **options: int) -> SeatStore:
+        store = SeatStore(self.path, sync=False, **options)
         self.addCleanup(store.close)
         return store
 
-    def test_a_writer_killed_at_every_point_keeps_what_it_was_told_lasts(self) -> None:
-        ended, point = False, 0
-        while not ended and point < 40:
+    def test_seat_store_killed_at_any_point_keeps_every_committed_record(self) -> None:
+        finished, point = False, 0
+        while not finished and point < 40:
             point += 1
             path = Path(self.folder.name, str(point))
-            done = subprocess.run(
+            process = subprocess.run(
                 [sys.executable, "-c", WRITER, str(path), str(point)],
                 cwd=ROOT,
                 capture_output=True,
                 text=True,
             )
-            self.assertEqual(done.stderr, "")
-            told = [line.split() for line in done.stdout.splitlines()]
-            ended = told[-1:] == [["END"]]
+            self.assertEqual(process.stderr, "")
+            printed = [line.split() for line in process.stdout.splitlines()]
+            finished = printed[-1:] == [["END"]]
             store = SeatStore(path)
             found = {record.seat: record.state for record in store.load()}
-            for seat, state in {line[0]: line[1] for line in told if len(line) == 2}.items():
+            for seat, state in {line[0]: line[1] for line in printed if len(line) == 2}.items():
                 self.assertGreaterEqual(found[seat], State[state], f"point {point}")
             ledger = Ledger()
             store.write(ledger.restore(store.load()))
@@ -75,7 +75,7 @@
             store.close()
         self.assertEqual(point, 31)  # begin, put and committed of ten writes, and the run that is not killed
 
-    def test_a_file_that_is_cut_off_is_named_and_not_opened(self) -> None:
+    def test_seat_store_truncated_is_not_opened(self) -> None:
         store = SeatStore(self.path)
         store.write([Record(f"s{at}", viewer="v" * 100) for at in range(500)])
         store.close()
@@ -86,52 +86,56 @@
             with self.assertRaisesRegex(StoreError, "cut off at"):
                 opening(self.path)
 
-    def test_a_spoilt_record_and_a_foreign_format_are_named(self) -> None:
+    def test_seat_store_with_corrupt_record_or_foreign_format_raises(self) -> None:
         store = self.open()
         store.write([Record("s1")])
         with store.environment.lmdb_environment.begin(
             write=True, db=store.environment.records_table
-        ) as change:
-            change.put(b"s1", change.get(b"s1")[:-1] + b"!")
+        ) as transaction:
+            transaction.put(b"s1", transaction.get(b"s1")[:-1] + b"!")
         with self.assertRaisesRegex(StoreError, "seat s1: the record is spoilt"):
             store.load()
-        with store.environment.lmdb_environment.begin(write=True, db=store.environment.meta_table) as change:
-            change.put(b"format", b"7")
+        with store.environment.lmdb_environment.begin(
+            write=True, db=store.environment.meta_table
+        ) as transaction:
+            transaction.put(b"format", b"7")
         store.close()
         with self.assertRaisesRegex(StoreError, "format 7, not 1"):
             SeatStore(self.path)
 
-    def test_a_full_store_refuses_whole_batches_and_takes_more_once_seats_are_dropped(self) -> None:
+    def test_seat_store_full_rejects_whole_batches_until_seats_are_dropped(self) -> None:
         store = self.open(max_mib=1)
-        taken = 0
+        written = 0
         with self.assertRaisesRegex(StoreError, "full"):
             while True:
-                store.write([Record(f"s{taken + at}", viewer="v" * 100) for at in range(200)])
-                taken += 200
-        self.assertEqual(len(store.load()), taken)
-        for at in range(0, taken, 100):
+                store.write([Record(f"s{written + at}", viewer="v" * 100) for at in range(200)])
+                written += 200
+        self.assertEqual(len(store.load()), written)
+        for at in range(0, written, 100):
             store.write([], dropped_keys=[f"s{at + more}" for more in range(100)])
         store.write([Record(f"n{at}", viewer="v" * 100) for at in range(200)])
         self.assertEqual(len(store.load()), 200)
 
-    def test_only_one_process_has_it(self) -> None:
+    def test_seat_store_opened_twice_raises(self) -> None:
         self.open()
         with self.assertRaisesRegex(StoreError, "another process"):
             SeatStore(self.path)
 
-    def test_what_waits_goes_into_one_commit_and_each_hears_of_it(self) -> None:
-        store, gate, heard = self.open(), threading.Event(), list[StoreError | None]()
-        store.environment.fault_point = lambda point: gate.wait(20) and None if point == "begin" else None
-        group = GroupCommit(store)
+    def test_group_commit_writes_what_is_queued_at_once_and_notifies_each(self) -> None:
+        store, may_commit, results = self.open(), threading.Event(), list[StoreError | None]()
+        store.environment.fault_point = lambda point: (
+            may_commit.wait(20) and None if point == "begin" else None
+        )
+        commits = GroupCommit(store)
         for at in range(300):
-            group.submit(Record(f"s{at}", State.RESERVED), heard.append)
-        gate.set()
-        group.close()
-        self.assertEqual((heard, len(store.load())), ([None] * 300, 300))
-        self.assertLessEqual(group.commits, 3)
+            commits.submit(Record(f"s{at}", State.RESERVED), results.append)
+        may_commit.set()
+        commits.close()
+        self.assertEqual((results, len(store.load())), ([None] * 300, 300))
+        self.assertLessEqual(commits.commits, 3)
 
-    def test_a_failed_write_is_told_to_all_that_it_holds(self) -> None:
-        store, heard = self.open(), list[StoreError | None]()
+    def test_group_commit_that_fails_notifies_with_the_error(self) -> None:
+        store, results = self.open(), list[StoreError | None]()
 
         def fault(point: str) -> None:
             if point == "put":
@@ -142,10 +146,10 @@
                 )
 
         store.environment.fault_point = fault
-        group = GroupCommit(store)
-        group.submit(Record("s1"), heard.append)
-        group.close()
-        self.assertEqual(len(heard), 1)
-        self.assertIsInstance(heard[0], StoreAccessError)
-        self.assertIn("no space left", str(heard[0]).lower())
+        commits = GroupCommit(store)
+        commits.submit(Record("s1"), results.append)
+        commits.close()
+        self.assertEqual(len(results), 1)
+        self.assertIsInstance(results[0], StoreAccessError)
+        self.assertIn("no space left", str(results[0]).lower())
         self.assertEqual(store.load(), [])
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -1,5 +1,7 @@
-"""What a driver of parts in the step form has to keep (``lotuspick/steps.py``), asked of each driver alike, and the store
-that it writes to."""
+"""What a driver of state machines guarantees (``lotuspick/state_machine.py``), asked of each driver alike.
+
+And the store that it writes to.
+"""
 
 from __future__ import annotations
 
@@ -53,21 +55,21 @@
 """
 
 
-class Scripted:
+class ScriptedMachine:
     """A machine that promises by numbers, and notes all that happens to it and when."""
 
     def __init__(self) -> None:
-        self.seen: list[tuple[int, Event]] = []
-        self.asked = 0
+        self.steps: list[tuple[int, Event]] = []
+        self.promises = 0
 
     def step(self, now: int, event: Event) -> Sequence[Effect]:
-        self.seen.append((now, event))
+        self.steps.append((now, event))
         match event:
             case ProcessStarted():
                 return [StartTimer("t", 5 * SECOND), StartTimer("t", 2 * SECOND)]
             case CommandReceived(command="promise"):
-                self.asked += 1
-                number = self.asked
+                self.promises += 1
+                number = self.promises
                 return [
                     Notify(f"before {number}"),
                     PersistRecord("k", b"%d" % number),
@@ -82,60 +84,60 @@
                 return []
 
 
-class Drive:
+class DriverUnderTest:
     """A driver under test: its machine, what was told and sent in order, and what lasts."""
 
-    machine: Scripted
+    machine: ScriptedMachine
     out: list[Any]
 
-    def ask(self, what: str) -> None: ...
-    def pass_s(self, seconds: float) -> None: ...
-    def lasting(self) -> dict[str, bytes]: ...
+    def command(self, what: str) -> None: ...
+    def advance(self, seconds: float) -> None: ...
+    def durable(self) -> dict[str, bytes]: ...
 
 
-class Daemons(Drive):
+class DaemonDriver(DriverUnderTest):
     def __init__(self) -> None:
-        self.clock, self.machine, self.out = Clock(), Scripted(), []
+        self.clock, self.machine, self.out = Clock(), ScriptedMachine(), []
         self.disk: dict[str, bytes] = {}
         self.waiting: list[tuple[Sequence[tuple[str, bytes]], CommitCallback]] = []
         self.full = False
         self.driver = StateMachineDriver(
             self.clock,
             self.machine,
-            self._keep,
+            self._persist,
             self.out.append,
             self.out.append,
             lambda: int(self.clock.seconds() * SECOND),
         )
         self.driver.start({}, 1)
 
-    def _keep(self, records: Sequence[tuple[str, bytes]], done: CommitCallback) -> None:
+    def _persist(self, records: Sequence[tuple[str, bytes]], done: CommitCallback) -> None:
         assert not self.waiting, "one batch is under way at a time"
         self.waiting.append((records, done))
-        self.clock.callLater(0.01, self._kept)
+        self.clock.callLater(0.01, self._on_persisted)
 
-    def _kept(self) -> None:
+    def _on_persisted(self) -> None:
         records, done = self.waiting.pop()
         if not self.full:
             self.disk.update(records)
         done(StoreError("full") if self.full else None)
 
-    def ask(self, what: str) -> None:
+    def command(self, what: str) -> None:
         self.driver.submit_command(what)
 
-    def pass_s(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         for _ in range(int(seconds * 1_000)):
             self.clock.advance(0.001)
 
-    def lasting(self) -> dict[str, bytes]:
+    def durable(self) -> dict[str, bytes]:
         return self.disk
 
 
-class Simulated(Drive):
+class SimulatedDriver(DriverUnderTest):
     def __init__(self) -> None:
-        self.world, self.machine = World(3), Scripted()
+        self.world, self.machine = World(3), ScriptedMachine()
         self.world.add("h", lambda: self.machine, [])
-        self.world.add("other", Scripted, [])
+        self.world.add("other", ScriptedMachine, [])
         self.world.start("other")
         self.world.start("h")
 
@@ -143,22 +145,22 @@
     def out(self) -> list[Any]:  # type: ignore[override]
         sent = [
             SendMessage("other", event.message)
-            for _, event in self.world.hosts["other"].machine.seen
+            for _, event in self.world.hosts["other"].machine.steps
             if isinstance(event, MessageReceived)
         ]
         return [Notify(news) for _, host, news in self.world.told if host == "h"] + sent
 
-    def ask(self, what: str) -> None:
+    def command(self, what: str) -> None:
         self.world.ask("h", CommandReceived(what))
 
-    def pass_s(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.world.run(int(seconds * SECOND))
 
-    def lasting(self) -> dict[str, bytes]:
+    def durable(self) -> dict[str, bytes]:
         return self.world.hosts["h"].disk
 
 
-def words(out: Sequence[Any]) -> list[Any]:
+def contents(out: Sequence[Any]) -> list[Any]:
     return [
         each.message
         if isinstance(each, SendMessage)
@@ -169,126 +171,131 @@
     ]
 
 
-class Contract(unittest.TestCase):
-    def each(self) -> list[Drive]:
-        return [Daemons(), Simulated()]
+class DriverContract(unittest.TestCase):
+    def drivers(self) -> list[DriverUnderTest]:
+        return [DaemonDriver(), SimulatedDriver()]
 
-    def test_a_promise_leaves_once_its_write_lasts_and_what_came_before_leaves_at_once(self) -> None:
-        for made in self.each():
-            with self.subTest(type(made).__name__):
-                made.ask("promise")
-                self.assertEqual((words(made.out), made.lasting()), (["before 1"], {}))
-                made.ask("promise")  # it waits behind the first, as its own write comes after
-                self.assertEqual(words(made.out), ["before 1"])
-                made.pass_s(0.5)
-                self.assertEqual(made.lasting(), {"k": b"2"})
+    def test_effects_after_a_write_wait_for_its_commit_and_those_before_do_not(self) -> None:
+        for driven in self.drivers():
+            with self.subTest(type(driven).__name__):
+                driven.command("promise")
+                self.assertEqual((contents(driven.out), driven.durable()), (["before 1"], {}))
+                driven.command("promise")  # it waits behind the first, as its own write comes after
+                self.assertEqual(contents(driven.out), ["before 1"])
+                driven.advance(0.5)
+                self.assertEqual(driven.durable(), {"k": b"2"})
                 self.assertEqual(
-                    [each for each in words(made.out) if isinstance(each, str)],
+                    [each for each in contents(driven.out) if isinstance(each, str)],
                     ["before 1", "after 1", "before 2", "after 2"],
                 )
-                self.assertEqual([each for each in words(made.out) if isinstance(each, int)], [1, 2])
+                self.assertEqual([each for each in contents(driven.out) if isinstance(each, int)], [1, 2])
                 self.assertEqual(
                     [
                         event.write_number
-                        for _, event in made.machine.seen
+                        for _, event in driven.machine.steps
                         if isinstance(event, WriteCommitted)
                     ],
                     [1, 2],
                 )
 
-    def test_of_one_name_one_timer_is_set_and_it_is_never_early(self) -> None:
-        for made in self.each():
-            with self.subTest(type(made).__name__):
-                began = made.machine.seen[0][0]
-                made.pass_s(10)
-                fired = [at for at, event in made.machine.seen if isinstance(event, TimerFired)]
+    def test_timer_started_twice_fires_once_and_never_early(self) -> None:
+        for driven in self.drivers():
+            with self.subTest(type(driven).__name__):
+                began = driven.machine.steps[0][0]
+                driven.advance(10)
+                fired = [at for at, event in driven.machine.steps if isinstance(event, TimerFired)]
                 self.assertEqual(len(fired), 1)
                 self.assertGreaterEqual(fired[0] - began, 2 * SECOND)
                 self.assertLess(fired[0] - began, 5 * SECOND)
 
-    def test_now_never_goes_back_and_events_come_one_after_another(self) -> None:
-        for made in self.each():
-            with self.subTest(type(made).__name__):
+    def test_step_times_never_go_back_and_effects_keep_their_order(self) -> None:
+        for driven in self.drivers():
+            with self.subTest(type(driven).__name__):
                 for _ in range(20):
-                    made.ask("promise")
-                    made.pass_s(0.02)
-                made.pass_s(1)
-                times = [at for at, _ in made.machine.seen]
+                    driven.command("promise")
+                    driven.advance(0.02)
+                driven.advance(1)
+                times = [at for at, _ in driven.machine.steps]
                 self.assertEqual(times, sorted(times))
-                self.assertEqual(words(made.out).index("after 20") > words(made.out).index("after 19"), True)
+                self.assertEqual(
+                    contents(driven.out).index("after 20") > contents(driven.out).index("after 19"), True
+                )
 
-    def test_where_the_disk_takes_nothing_nothing_is_promised_until_it_does(self) -> None:
-        made = Daemons()
-        made.full = True
+    def test_failing_disk_holds_back_effects_until_it_recovers(self) -> None:
+        driven = DaemonDriver()
+        driven.full = True
         with self.assertLogs("lotuspick.transport.peers.state_machine_driver", "ERROR") as logs:
-            made.ask("two")
-            made.pass_s(3)
-        self.assertEqual((made.out, str(made.driver.write_error), len(logs.output)), ([], "full", 1))
+            driven.command("two")
+            driven.advance(3)
+        self.assertEqual((driven.out, str(driven.driver.write_error), len(logs.output)), ([], "full", 1))
         [line] = logs.records
         self.assertEqual((line.getMessage(), vars(line)["error"]), ("record_write_failed", "full"))
-        made.ask("promise")
-        made.full = False
-        made.pass_s(3)
+        driven.command("promise")
+        driven.full = False
+        driven.advance(3)
+        self.assertEqual(
+            [each for each in contents(driven.out) if each != "fired"],
+            ["one", "two", "before 1", 1, "after 1"],
+        )
         self.assertEqual(
-            [each for each in words(made.out) if each != "fired"], ["one", "two", "before 1", 1, "after 1"]
+            (driven.durable(), driven.driver.write_error), ({"a": b"1", "b": b"2", "k": b"1"}, None)
         )
-        self.assertEqual((made.lasting(), made.driver.write_error), ({"a": b"1", "b": b"2", "k": b"1"}, None))
 
-    def test_a_driver_that_is_closed_does_nothing_more(self) -> None:
-        made = Daemons()
-        made.ask("promise")
-        made.driver.close()
-        made.pass_s(10)
-        made.ask("promise")
-        self.assertEqual(words(made.out), ["before 1"])
+    def test_closed_driver_carries_out_no_effects(self) -> None:
+        driven = DaemonDriver()
+        driven.command("promise")
+        driven.driver.close()
+        driven.advance(10)
+        driven.command("promise")
+        self.assertEqual(contents(driven.out), ["before 1"])
 
-    def test_a_killed_process_may_keep_more_than_it_was_told_and_never_less(self) -> None:
+    def test_killed_process_keeps_at_least_what_was_committed(self) -> None:
         kept = set()
         for seed in range(40):
             world = World(seed)
-            world.add("h", Scripted, [])
+            world.add("h", ScriptedMachine, [])
             world.start("h")
             for _ in range(5):
                 world.ask("h", CommandReceived("promise"))
                 world.run(random.Random(seed).randrange(6_000))
-            told = sum(str(news).startswith("after") for _, _, news in world.told)
+            reported = sum(str(news).startswith("after") for _, _, news in world.told)
             world.crash("h")
             last = int(world.hosts["h"].disk.get("k", b"0"))
-            self.assertGreaterEqual(last, told)
-            kept.add(last - told)
+            self.assertGreaterEqual(last, reported)
+            kept.add(last - reported)
         self.assertGreater(len(kept), 1)
 
 
-class Stored(unittest.TestCase):
+class StateMachineStores(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name)
 
-    def test_a_writer_killed_at_every_point_keeps_whole_batches(self) -> None:
+    def test_state_machine_store_killed_at_any_point_keeps_whole_batches(self) -> None:
         ended, point = False, 0
         while not ended:
             point += 1
             path = self.path / str(point)
-            done = subprocess.run(
+            process = subprocess.run(
                 [sys.executable, "-c", WRITER, str(path), str(point)],
                 cwd=ROOT,
                 capture_output=True,
                 text=True,
             )
-            told = done.stdout.split()
-            ended = told[-1:] == ["END"]
+            printed = process.stdout.split()
+            ended = printed[-1:] == ["END"]
             store = StateMachineStore(path)
             found = store.load()
             store.close()
             self.assertEqual(found.get("a"), found.get("b"))
-            lasting = [int(each) for each in told if each != "END"]
-            self.assertGreaterEqual(int(found.get("a", b"-1")), max(lasting, default=-1))
+            committed = [int(each) for each in printed if each != "END"]
+            self.assertGreaterEqual(int(found.get("a", b"-1")), max(committed, default=-1))
         self.assertEqual(
             point, 17
         )  # begin, two puts and committed of four writes, and the run that is not killed
 
-    def test_what_is_spoilt_foreign_or_in_use_is_named(self) -> None:
+    def test_state_machine_store_corrupt_foreign_or_in_use_raises(self) -> None:
         store = StateMachineStore(self.path / "s")
         store.write([("life", b"7")])
         with self.assertRaisesRegex(StoreError, "another process"):
@@ -305,12 +312,12 @@
         with self.assertRaisesRegex(StoreError, "format steps 2, not steps 1"):
             StateMachineStore(self.path / "s")
 
-    def test_the_driver_writes_by_group_commit(self) -> None:
-        store, heard = StateMachineStore(self.path / "s"), list[StoreError | None]()
+    def test_group_commit_of_several_records_keeps_the_last_of_a_key(self) -> None:
+        store, results = StateMachineStore(self.path / "s"), list[StoreError | None]()
         commits = GroupCommit(store)
-        commits.submit_all([("a", b"1"), ("b", b"2"), ("a", b"3")], heard.append)
+        commits.submit_all([("a", b"1"), ("b", b"2"), ("a", b"3")], results.append)
         commits.close()
-        self.assertEqual((store.load(), heard), ({"a": b"3", "b": b"2"}, [None]))
+        self.assertEqual((store.load(), results), ({"a": b"3", "b": b"2"}, [None]))
         store.close()
 
 
