--- a/lotuspick/entitlement/constraints.py
+++ b/lotuspick/entitlement/constraints.py
@@ -27,6 +27,7 @@
 from lotuspick.core.operator_events import OperatorEvent, RateLimitedEvents
 from lotuspick.entitlement.ledger import Ledger, Record, State, Verdict
 from lotuspick.entitlement.model import Seat, TokenError, TokenRejection
+from lotuspick.entitlement.renewal import RenewalCallback, RenewalFailure, RenewalRejection
 from lotuspick.entitlement.request_check import check_request_token
 from lotuspick.entitlement.seat_session import Journal, Rules, SeatSession, SeatTermination
 from lotuspick.entitlement.tokens import TokenVerifier
@@ -142,8 +143,9 @@
         self.journal.submit(record, lambda error: self._on_reservation_written(session, error))
         return self._pending
 
-    def _on_reservation_written(self, session: SeatSession, error: str) -> None:
-        session.reservation_durable, session.write_error = not error, error
+    def _on_reservation_written(self, session: SeatSession, error: Exception | None) -> None:
+        session.reservation_durable = error is None
+        session.write_error = "" if error is None else str(error)
 
     def _reject(self, now: int, request: SessionRequest, reason: str, detail: str) -> PlacementConstraint:
         self.events.record(
@@ -277,46 +279,45 @@
             self._unwritten.pop(record.seat, None)
             self.journal.submit(record, lambda error: self._on_written(record, error))
 
-    def _on_written(self, record: Record, error: str) -> None:
-        if error and self.ledger.records.get(record.seat) is record:
+    def _on_written(self, record: Record, error: Exception | None) -> None:
+        if error is not None and self.ledger.records.get(record.seat) is record:
             self._unwritten[record.seat] = record
 
     # ---- renewal, revocation, lapse -----------------------------------------------------------------------
 
-    def renew(self, now: int, name: str, token: str, done: Callable[[str], None]) -> None:
+    def renew(self, now: int, name: str, token: str, done: RenewalCallback) -> None:
         """Take a newer token for a session that plays.
 
         Args:
             now: clock time (us).
             name: the session.
             token: the newer one.
-            done: called, maybe at once, with the reason of a rejection, or with an empty text once the
-                renewal is durable.
+            done: called, maybe at once, with the rejection, or with None once the renewal is durable.
         """
         session = self.sessions.get(name)
         if session is None or not session.playing:
-            done("session-unknown")
+            done(RenewalRejection(RenewalFailure.SESSION_UNKNOWN))
             return
         try:
             seat = self._check_renewal(session, token)
         except TokenError as error:
-            done(f"token-{error.rejection.value}")
+            done(RenewalRejection(error.rejection))
             return
         valid, record = self.ledger.renew(self.wall(), seat.seat, seat.viewer, seat.epoch, seat.ends_s)
         if not valid:
-            done("seat-lapsed")
+            done(RenewalRejection(RenewalFailure.SEAT_LAPSED))
             return
         if record is None:
-            done("")  # a duplicate, or overtaken by a newer one
+            done(None)  # a duplicate, or overtaken by a newer one
             return
         self.counts["renewed"] += 1
 
-        def on_written(error: str) -> None:
+        def on_written(error: Exception | None) -> None:
             self._on_written(record, error)
-            if not error:
+            if error is None:
                 session.seat = seat
                 self._set_lapse(session, now)
-            done(STORE if error else "")
+            done(None if error is None else RenewalRejection(RenewalFailure.STORE))
 
         self.journal.submit(record, on_written)
 
--- a/lotuspick/program/commands/seats.py
+++ b/lotuspick/program/commands/seats.py
@@ -25,7 +25,7 @@
 from lotuspick.entitlement.model import Seat, TokenError
 from lotuspick.entitlement.tokens import PublicKey, TokenVerifier, sign
 from lotuspick.program.entitlement import EntitlementError, read_proofs, read_revoked
-from lotuspick.transport.storage.durable_store import StoreError
+from lotuspick.transport.storage.errors import StoreError
 from lotuspick.transport.storage.key_folder import KeyFolder, KeyFolderError
 from lotuspick.transport.storage.seat_store import read
 
@@ -47,7 +47,7 @@
     """The newest key that signs."""
     keys = [key for key in folder.load().values() if not key.withdrawn and key.until_s > now_s]
     if not keys:
-        raise KeyFolderError(f"{folder.public}: no key signs; lotuspick keys make")
+        raise KeyFolderError(f"{folder.public_keys_file}: no key signs; lotuspick keys make")
     return keys[-1]
 
 
--- a/lotuspick/program/entitlement.py
+++ b/lotuspick/program/entitlement.py
@@ -5,18 +5,20 @@
 import json
 import logging
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from pathlib import Path
 
 from lotuspick.core.operator_events import OperatorEvent
 from lotuspick.entitlement.constraints import SeatConstraints
 from lotuspick.entitlement.ledger import Ledger, Record
+from lotuspick.entitlement.renewal import RenewalCallback
 from lotuspick.entitlement.tokens import TokenVerifier
 from lotuspick.program.configuration import ConfigError, SeatsConfig
 from lotuspick.routing.messages import InboundMessage, LedgerCommitted, SessionRevoked
 from lotuspick.routing.termination import TerminationReason
 from lotuspick.transport.sockets import wall_s
-from lotuspick.transport.storage.durable_store import Done, GroupCommit, StoreError
+from lotuspick.transport.storage.errors import StoreError
+from lotuspick.transport.storage.group_commit import CommitCallback, CommitReport, GroupCommit, notify_all
 from lotuspick.transport.storage.key_folder import KeyFolder, KeyFolderError
 from lotuspick.transport.storage.seat_store import SeatStore
 
@@ -65,25 +67,24 @@
 
     # ---- the guide's journal ------------------------------------------------------------------------------
 
-    def submit(self, record: Record, done: Done) -> None:
+    def submit(self, record: Record, done: CommitCallback) -> None:
         self.commits.submit(record, done)
 
-    def drop(self, seats: list[str], done: Done) -> None:
+    def drop(self, seats: list[str], done: CommitCallback) -> None:
         self.commits.drop(seats, done)
 
-    def _lasting(self, heard: list[tuple[Done, str]]) -> None:
+    def _lasting(self, reports: Sequence[CommitReport]) -> None:
         """On the thread of the commits."""
 
         def tell() -> None:
-            for done, fault in heard:
-                done(fault)
+            notify_all(reports)
             self.post(LedgerCommitted())
 
         self.run(tell)
 
     # ---- while it serves ----------------------------------------------------------------------------------
 
-    def renew(self, now: int, session: str, token: str, done: Callable[[str], None]) -> None:
+    def renew(self, now: int, session: str, token: str, done: RenewalCallback) -> None:
         """A renewal from a front; see :meth:`SeatConstraints.renew`."""
         self.guide.renew(now, session, token, done)
 
--- a/lotuspick/routing/interfaces.py
+++ b/lotuspick/routing/interfaces.py
@@ -5,7 +5,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Protocol
 
@@ -76,13 +75,6 @@
         """Open a connection where none is, since sessions play there."""
 
 
-RenewToken = Callable[[str, str, Callable[[str], None]], None]
-"""Takes a session that plays, a newer token, and a callback.
-
-The callback gets the reason of a rejection, or an empty text once the renewal is committed.
-"""
-
-
 class TenantDirectory(Protocol):
     """Where the tenants are kept."""
 
--- a/tests/test_seats_guide.py
+++ b/tests/test_seats_guide.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import unittest
-from collections.abc import Callable
 from typing import Any
 
 from helpers import SECOND, of, request, servers, settings
@@ -25,7 +24,8 @@
 from lotuspick.entitlement.constraints import SeatConstraints
 from lotuspick.entitlement.ledger import Ledger, Record, State
 from lotuspick.entitlement.model import Seat
-from lotuspick.entitlement.seat_session import Rules
+from lotuspick.entitlement.renewal import RenewalRejection
+from lotuspick.entitlement.seat_session import Rules, WriteCallback
 from lotuspick.entitlement.tokens import sign
 
 START = 20 * SECOND
@@ -35,15 +35,15 @@
     """Takes records when the test says so, or fails."""
 
     def __init__(self) -> None:
-        self.waiting: list[tuple[Record, Callable[[str], None]]] = []
+        self.waiting: list[tuple[Record, WriteCallback]] = []
         self.written: dict[str, Record] = {}
         self.dropped: list[str] = []
         self.fault = ""
 
-    def submit(self, record: Record, done: Callable[[str], None]) -> None:
+    def submit(self, record: Record, done: WriteCallback) -> None:
         self.waiting.append((record, done))
 
-    def drop(self, seats: list[str], done: Callable[[str], None]) -> None:
+    def drop(self, seats: list[str], done: WriteCallback) -> None:
         self.dropped += seats
 
     def work(self) -> None:
@@ -51,7 +51,7 @@
         for record, done in waiting:
             if not self.fault:
                 self.written[record.seat] = record
-            done(self.fault)
+            done(OSError(self.fault) if self.fault else None)
 
 
 class Guided(unittest.TestCase):
@@ -195,13 +195,13 @@
     def test_a_seat_lapses_after_its_grace_unless_it_was_renewed_in_it(self) -> None:
         for session, seat, renewed in (("a", "A", False), ("b", "B", True)):
             self.start(session, token=self.token(seat, ends=10))
-            heard: list[str] = []
+            heard: list[RenewalRejection | None] = []
             self.wall = NOW + 10 + 60 + 25
             if renewed:
                 self.guide.renew(self.now, session, self.token(seat, 1, ends=600), heard.append)
                 self.guide.renew(self.now, session, self.token(seat, 1, ends=600), heard.append)
                 self.disk.work()
-                self.assertEqual(heard, ["", ""])
+                self.assertEqual(heard, [None, None])
             self.guide.sweep(self.now + 101 * SECOND)
             self.assertEqual(self.guide.take_terminations(), [] if renewed else [("a", "lapsed")])
             self.wall = float(NOW)
