--- a/lotuspick/cells/cell_status.py
+++ b/lotuspick/cells/cell_status.py
@@ -7,7 +7,7 @@
 from lotuspick.cells.budgets import Budget, DecayingCount
 from lotuspick.cells.model import SECOND, Cell
 
-CHECK_INTERVAL_US = SECOND // 2  # stages of moves, and whether a cell is contended, are checked so often
+CHECK_INTERVAL_US = SECOND // 2  # stages of migrations, and whether a cell is contended, are checked so often
 LOAD_LIFETIME_US = 5 * SECOND  # a report of a link's load counts so long
 ELSEWHERE_WINDOW_S = 30.0  # over which set-ups sent to other cells, and first attempts beside them, decay
 REJECTION_WINDOW_S = 3.0  # over which rejections for want of capacity decay
--- a/lotuspick/cells/constraints.py
+++ b/lotuspick/cells/constraints.py
@@ -14,8 +14,8 @@
 from lotuspick.cells.budgets import Budget, TenantBudgets
 from lotuspick.cells.cell_status import CHECK_INTERVAL_US, CellStatus
 from lotuspick.cells.directory import CellDirectory, hash_fraction
+from lotuspick.cells.migration_tracker import MigrationTracker
 from lotuspick.cells.model import Cell, Plan, PlanError
-from lotuspick.cells.move_tracker import MoveTracker
 from lotuspick.cells.returning_viewers import ReturningViewers
 from lotuspick.cells.session_counts import CellSession, SessionCounts
 from lotuspick.core.actions import FailSession, ForwardAttempt, Observation, RejectSession
@@ -57,8 +57,8 @@
         self.counts = SessionCounts(self.directory, self.statuses)
         self.sessions = self.counts.sessions
         self.events = RateLimitedEvents()
-        self.moves = MoveTracker(self.events, self.counts.playing_of)
-        self._moves_checked_at_us = -CHECK_INTERVAL_US
+        self.migrations = MigrationTracker(self.events, self.counts.playing_of)
+        self._migrations_checked_at_us = -CHECK_INTERVAL_US
         self._rejected: dict[str, int] = {}  # by reason, since the last summary
         self._admitted = self._sent_elsewhere = 0  # since the last summary
         self._undersized: dict[str, int] = {}
@@ -78,13 +78,13 @@
 
     def constraint_for(self, now: int, request: SessionRequest) -> PlacementConstraint:
         """The constraint of a request, or of a retry of it, at clock time ``now`` (us)."""
-        if not 0 <= now - self._moves_checked_at_us < CHECK_INTERVAL_US:
-            self._check_moves(now)
+        if not 0 <= now - self._migrations_checked_at_us < CHECK_INTERVAL_US:
+            self._check_migrations(now)
         session = self.sessions.get(request.session)
         if session is None:
             return self._admit(now, request)
         if session.retry_pending:
-            self._follow_move(session, now)
+            self._follow_migration(session, now)
             rejection = self._reject_over_budget(session, now)
             if rejection is not None:
                 return rejection
@@ -123,8 +123,8 @@
         for budget in (session.tenant, self.statuses[session.cell].budget):
             budget.retries.add(now)
 
-    def _follow_move(self, session: CellSession, now: int) -> None:
-        """A retry of a tenant that moved meanwhile goes where its viewers now belong."""
+    def _follow_migration(self, session: CellSession, now: int) -> None:
+        """A retry of a tenant that was migrated meanwhile goes where its viewers now belong."""
         request = session.request
         cell = self.directory.cell_for(request.tenant, request.title, request.viewer, True, now)
         self.counts.change_cell(session, cell)
@@ -328,9 +328,9 @@
         if status is not None:
             status.report_load(server, load, now)
 
-    # ---- the plan and its moves ---------------------------------------------------------------------------
+    # ---- the plan and its migrations ----------------------------------------------------------------------
 
-    def take(self, plan: Plan, now: int) -> None:
+    def apply_plan(self, plan: Plan, now: int) -> None:
         """Follow another plan from now on (us); sessions, counts and the server list stay.
 
         Raises:
@@ -355,15 +355,20 @@
             self.statuses[name].apply_plan(cell, usual_window_s)
         self.counts.apply_plan(self.directory, self.statuses, now)
         self.events.record(
-            now, "plan taken", str(plan.epoch), epoch=plan.epoch, cells=len(plan.cells), moves=len(plan.moves)
+            now,
+            "plan taken",
+            str(plan.epoch),
+            epoch=plan.epoch,
+            cells=len(plan.cells),
+            moves=len(plan.migrations),
         )
         self._record_undersized(now)
-        self._check_moves(now)
+        self._check_migrations(now)
         self.counts.recount(now)
 
-    def _check_moves(self, now: int) -> None:
-        self._moves_checked_at_us = now
-        if self.moves.update(now, self.directory):
+    def _check_migrations(self, now: int) -> None:
+        self._migrations_checked_at_us = now
+        if self.migrations.update(now, self.directory):
             self.counts.recount(now)
 
     # ---- for operators ------------------------------------------------------------------------------------
--- a/lotuspick/cells/directory.py
+++ b/lotuspick/cells/directory.py
@@ -14,7 +14,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from lotuspick.cells import migration
+from lotuspick.cells.migration import COUNTED_IN_BOTH_CELLS, is_migrated, share_at, stage_at
 from lotuspick.cells.model import HASH, Cell, Plan
 from lotuspick.core.events import ServerEntry, ServerListUpdate
 
@@ -70,9 +70,9 @@
     def __init__(self, plan: Plan, positions: int, servers: Iterable[ServerEntry] = ()) -> None:
         self.plan, self.positions = plan, positions
         self.entries = {entry.server: entry for entry in servers}
-        self.moves_by_tenant = {
-            tenant: [move for move in plan.moves if move.tenant == tenant]
-            for tenant in {move.tenant for move in plan.moves}
+        self.migrations_by_tenant = {
+            tenant: [migration for migration in plan.migrations if migration.tenant == tenant]
+            for tenant in {migration.tenant for migration in plan.migrations}
         }
         self._weights = {cell.name: cell.weight for cell in plan.cells.values()}
         self._weights_without_selector = {
@@ -146,7 +146,7 @@
     # ---- tenants ------------------------------------------------------------------------------------------
 
     def base_cell(self, tenant: str, title: str) -> tuple[str, float]:
-        """The cell of a tenant's lesson before any move, and the tenant's weight there (0: none is given)."""
+        """The cell of a tenant's lesson before any migration, and the tenant's weight there (0: none)."""
         key = (tenant, title)
         found = self._base_cells.get(key)
         if found is None:
@@ -156,25 +156,25 @@
         return found
 
     def cell_for(self, tenant: str, title: str, viewer: str, returned: bool, now: int) -> str:
-        """The cell of a request at a time (us): the base, then each move of the tenant by epoch."""
+        """The cell of a request at a time (us): the base, then each migration of the tenant by epoch."""
         cell = self.base_cell(tenant, title)[0]
-        for move in self.moves_by_tenant.get(tenant, ()):
-            fraction = hash_fraction(self.plan.salt, "viewer", viewer, str(move.epoch))
-            if migration.is_migrated(move, fraction, returned, now):
-                cell = move.to
+        for migration in self.migrations_by_tenant.get(tenant, ()):
+            fraction = hash_fraction(self.plan.salt, "viewer", viewer, str(migration.epoch))
+            if is_migrated(migration, fraction, returned, now):
+                cell = migration.target_cell
         return cell
 
-    def cells_during_move(self, tenant: str, title: str, now: int) -> tuple[str, ...]:
-        """The cells in which the tenant's sessions count while it moves; none where it does not."""
-        moves = self.moves_by_tenant.get(tenant, ())
-        if not any(migration.stage(move, now) in migration.MOVING for move in moves):
+    def cells_during_migration(self, tenant: str, title: str, now: int) -> tuple[str, ...]:
+        """The cells in which the tenant's sessions count while it is migrated; none where it is not."""
+        migrations = self.migrations_by_tenant.get(tenant, ())
+        if not any(stage_at(migration, now) in COUNTED_IN_BOTH_CELLS for migration in migrations):
             return ()
         cells = [self.base_cell(tenant, title)[0]]
-        for move in moves:
-            if migration.stage(move, now) in migration.MOVING:
-                cells.append(move.to)
-            elif migration.share(move, now) >= 1:
-                cells = [move.to]
+        for migration in migrations:
+            if stage_at(migration, now) in COUNTED_IN_BOTH_CELLS:
+                cells.append(migration.target_cell)
+            elif share_at(migration, now) >= 1:
+                cells = [migration.target_cell]
         return tuple(dict.fromkeys(cells))
 
     def _find_base_cell(self, tenant: str, title: str) -> tuple[str, float]:
--- a/lotuspick/cells/exposure.py
+++ b/lotuspick/cells/exposure.py
@@ -36,12 +36,12 @@
 def reach(directory: CellDirectory, tenant: str) -> tuple[frozenset[str], frozenset[str]]:
     """The nodes that a tenant can reach, and those with spilling and widening.
 
-    Moves that are declared count with both of their cells.
+    Migrations that are declared count with both of their cells.
     """
     plan = directory.plan
     cells = {
         directory.base_cell(tenant, "")[0],
-        *(move.to for move in directory.moves_by_tenant.get(tenant, ())),
+        *(migration.target_cell for migration in directory.migrations_by_tenant.get(tenant, ())),
     }
     cells |= {
         rule.cell
--- /dev/null
+++ b/lotuspick/cells/migration_tracker.py
@@ -0,0 +1,51 @@
+"""Follows the stages of the migrations of a plan, and records each change for operators. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from lotuspick.cells.directory import CellDirectory
+from lotuspick.cells.migration import COUNTED_IN_BOTH_CELLS, MigrationStage, share_at, stage_at
+from lotuspick.cells.model import TenantMigration
+from lotuspick.core.operator_events import RateLimitedEvents
+
+
+class MigrationTracker:
+    """The stage of each migration, by tenant and epoch, as it was last seen."""
+
+    def __init__(self, events: RateLimitedEvents, playing_of: Callable[[str], int]) -> None:
+        self.stages: dict[tuple[str, int], MigrationStage] = {}
+        self._events, self._playing_of = events, playing_of
+
+    def update(self, now: int, directory: CellDirectory) -> bool:
+        """Take the stages at a time (us). Returns whether sessions may count in other cells now."""
+        recount = False
+        for migration in directory.plan.migrations:
+            key, current = (migration.tenant, migration.epoch), stage_at(migration, now)
+            before = self.stages.get(key)
+            if before is current:
+                continue
+            self.stages[key] = current
+            recount = recount or current in COUNTED_IN_BOTH_CELLS or before in COUNTED_IN_BOTH_CELLS
+            self._record(now, migration, current, directory)
+        if len(self.stages) > len(directory.plan.migrations):
+            declared = {(migration.tenant, migration.epoch) for migration in directory.plan.migrations}
+            self.stages = {key: current for key, current in self.stages.items() if key in declared}
+        return recount
+
+    def _record(
+        self, now: int, migration: TenantMigration, current: MigrationStage, directory: CellDirectory
+    ) -> None:
+        self._events.record(
+            now,
+            "move",
+            f"{migration.tenant} {migration.epoch} {current.value}",
+            tenant=migration.tenant,
+            epoch=migration.epoch,
+            stage=current.value,
+            cell=directory.base_cell(migration.tenant, "")[0],
+            to=migration.target_cell,
+            share=round(share_at(migration, now), 3),
+            nodes=len(directory.servers_by_cell[migration.target_cell]),
+            stand=self._playing_of(migration.tenant),
+        )
--- a/lotuspick/cells/model.py
+++ b/lotuspick/cells/model.py
@@ -123,11 +123,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
-    """A tenant's declared change of cell. Times are Unix microseconds."""
+class TenantMigration:
+    """A tenant's declared change of cell (``[[moves]]`` in the file). Times are Unix microseconds."""
 
     tenant: str
-    to: str
+    target_cell: str
     epoch: int
     start_us: int
     prepare_us: int = 30 * SECOND
@@ -137,7 +137,7 @@
     """Sessions that play in the old cell count in both cells for at most so long after the shift."""
     pauses: tuple[tuple[int, int], ...] = ()
     """Times in which the shift is paused; the last may last (its end is ``FOREVER_US``)."""
-    back_us: int = 0
+    rollback_us: int = 0
     """From here on viewers are migrated back, at the same pace; 0: no rollback."""
 
 
@@ -153,7 +153,7 @@
     nameless: str = ""
     """The cell of requests without a tenant; empty: as by ``default``, their lesson hashed for a name."""
     rules: tuple[Rule, ...] = ()
-    moves: tuple[Move, ...] = ()
+    migrations: tuple[TenantMigration, ...] = ()
     tenant: Limits = Limits()
     fair_share: FairShare = FairShare()
     tenants_kept: int = 4_096
--- a/lotuspick/cells/plan_file.py
+++ b/lotuspick/cells/plan_file.py
@@ -17,11 +17,11 @@
     Cell,
     FairShare,
     Limits,
-    Move,
     Plan,
     PlanError,
     Rule,
     Selector,
+    TenantMigration,
 )
 from lotuspick.cells.toml_values import (
     check_keys,
@@ -36,7 +36,7 @@
     read_time,
 )
 
-LONGEST_S = 10 * 365 * 86_400.0  # of a stage of a move
+LONGEST_S = 10 * 365 * 86_400.0  # of a stage of a migration
 CELL_NAME = re.compile(r"[A-Za-z0-9_.-]{1,64}")
 POSITION_SPAN = re.compile(r"(\d{1,6})-(\d{1,6})(?:/(\d{1,6}))?")  # low-high, or low-high/step
 WILDCARDS = "*?["
@@ -75,7 +75,9 @@
     }
 )
 RULE_KEYS = frozenset({"tenant", "title", "cell", "weight"})
-MOVE_KEYS = frozenset({"tenant", "to", "epoch", "start", "prepare_s", "shift_s", "drain_s", "pauses", "back"})
+MIGRATION_KEYS = frozenset(
+    {"tenant", "to", "epoch", "start", "prepare_s", "shift_s", "drain_s", "pauses", "back"}
+)
 LIMIT_FIELDS = {
     "ratio": "retry_ratio",
     "floor": "retry_floor_per_s",
@@ -113,7 +115,7 @@
     cells = _cells(document, cell_limits)
     default, nameless = _default_cells(document, cells)
     rules = tuple(_rule(table, path, cells) for table, path in read_tables(document, "assign"))
-    moves = _moves(document, cells)
+    migrations = _migrations(document, cells)
     named = [rule.tenant for rule in rules if not _is_pattern(rule.tenant)]
     return Plan(
         cells,
@@ -122,12 +124,12 @@
         default,
         nameless,
         rules,
-        moves,
+        migrations,
         tenant_limits,
         _fair_share(document),
         read_integer(document, "tenants_kept", "tenants_kept", 4_096, 1),
         read_integer(document, "viewers_kept", "viewers_kept", 65_536, 1),
-        frozenset(named + [move.tenant for move in moves]),
+        frozenset(named + [migration.tenant for migration in migrations]),
     )
 
 
@@ -243,32 +245,34 @@
     return rule
 
 
-def _moves(document: Mapping[str, Any], cells: Mapping[str, Cell]) -> tuple[Move, ...]:
-    moves: list[Move] = []
+def _migrations(document: Mapping[str, Any], cells: Mapping[str, Cell]) -> tuple[TenantMigration, ...]:
+    migrations: list[TenantMigration] = []
     for table, path in read_tables(document, "moves"):
-        moves.append(_move(table, path, cells, moves))
-    return tuple(moves)
+        migrations.append(_migration(table, path, cells, migrations))
+    return tuple(migrations)
 
 
-def _move(table: Mapping[str, Any], path: str, cells: Mapping[str, Cell], earlier: list[Move]) -> Move:
-    check_keys(table, MOVE_KEYS, path)
+def _migration(
+    table: Mapping[str, Any], path: str, cells: Mapping[str, Cell], earlier: list[TenantMigration]
+) -> TenantMigration:
+    check_keys(table, MIGRATION_KEYS, path)
     tenant, to = read_text(table, "tenant", f"{path}.tenant"), read_text(table, "to", f"{path}.to")
     _check_cell(to, cells, f"{path}.to")
     if not tenant or _is_pattern(tenant):
         raise PlanError(f"{path}.tenant must be one tenant's name, not {tenant!r}")
     epoch = read_integer(table, "epoch", f"{path}.epoch", None, 1)
-    if any(move.tenant == tenant and move.epoch >= epoch for move in earlier):
+    if any(migration.tenant == tenant and migration.epoch >= epoch for migration in earlier):
         raise PlanError(f"{path}.epoch must be above that of the move of {tenant!r} before it, not {epoch}")
     start_us = read_time(table, "start", path)
     prepare_us, shift_us, drain_us = (
         int(read_number(table, key, f"{path}.{key}", default, 0.0, LONGEST_S) * SECOND)
         for key, default in (("prepare_s", 30.0), ("shift_s", 120.0), ("drain_s", 600.0))
     )
-    back_us = read_time(table, "back", path) if "back" in table else 0
-    if back_us and back_us < start_us:
+    rollback_us = read_time(table, "back", path) if "back" in table else 0
+    if rollback_us and rollback_us < start_us:
         raise PlanError(f"{path}.back lies before the start of the move")
     pauses = tuple(_pauses(table, path, start_us))
-    return Move(tenant, to, epoch, start_us, prepare_us, shift_us, drain_us, pauses, back_us)
+    return TenantMigration(tenant, to, epoch, start_us, prepare_us, shift_us, drain_us, pauses, rollback_us)
 
 
 def _pauses(table: Mapping[str, Any], table_path: str, start_us: int) -> Iterator[tuple[int, int]]:
--- a/lotuspick/cells/session_counts.py
+++ b/lotuspick/cells/session_counts.py
@@ -45,11 +45,11 @@
     def count(self, session: CellSession, now: int) -> None:
         """Count a session where it plays; before that, in the cell that admitted it.
 
-        While its tenant moves it counts in every cell of the move.
+        While its tenant is migrated it counts in every cell of the migration.
         """
         cell = self._directory.cell_by_server.get(session.server, "") or session.cell
         request = session.request
-        cells = (cell, *self._directory.cells_during_move(request.tenant, request.title, now))
+        cells = (cell, *self._directory.cells_during_migration(request.tenant, request.title, now))
         cells = tuple(name for name in dict.fromkeys(cells) if name in self._statuses)
         if cells != session.counted_in:
             self._discount(session)
@@ -59,7 +59,7 @@
                 self._statuses[name].budget.count_session(name, 1)
 
     def recount(self, now: int) -> None:
-        """Count all sessions anew: servers or stages of moves have changed."""
+        """Count all sessions anew: servers or stages of migrations have changed."""
         for session in self.sessions.values():
             self.count(session, now)
 
--- a/lotuspick/lab/emulator/world.py
+++ b/lotuspick/lab/emulator/world.py
@@ -262,7 +262,7 @@
     def take(self, plan: Plan) -> None:
         if self.guide is not None and self.up and not self.deaf_plan:
             try:
-                self.guide.take(plan, self.world.now)
+                self.guide.apply_plan(plan, self.world.now)
             except PlanError as error:
                 self.world.said.append(OperatorEvent("plan not taken", {"fault": str(error)}))
 
--- a/lotuspick/lab/experiment/trials.py
+++ b/lotuspick/lab/experiment/trials.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 from typing import Any
 
-from lotuspick.cells.model import Cell, FairShare, Limits, Move, Plan, Rule, Selector
+from lotuspick.cells.model import Cell, FairShare, Limits, Plan, Rule, Selector, TenantMigration
 from lotuspick.lab.emulator.spec import SECOND, Crowd, Spec, Storm, Trouble
 from lotuspick.lab.emulator.world import METER_US, World
 from lotuspick.lab.experiment.cost import cost
@@ -22,7 +22,9 @@
 FREE = Limits(retry_floor_per_s=1e9, open_limit=1_000_000_000)
 
 
-def blocks(world: World, budgets: bool = True, epoch: int = 1, moves: tuple[Move, ...] = ()) -> Plan:
+def blocks(
+    world: World, budgets: bool = True, epoch: int = 1, moves: tuple[TenantMigration, ...] = ()
+) -> Plan:
     """Cells as the operators of the emulated fleet would draw them: a block of positions each, tenants where their
     lessons were laid, weighed by what they usually ask. Without budgets nobody is limited."""
     spec = world.spec
@@ -36,7 +38,7 @@
         Rule(tenant, "*", f"c{world.blocks[tenant]}", world.parts[tenant]) for tenant in world.tenants
     )
     named = frozenset(world.tenants)
-    plan = Plan(cells, epoch, rules=rules, moves=moves, named=named)
+    plan = Plan(cells, epoch, rules=rules, migrations=moves, named=named)
     return (
         plan
         if budgets
@@ -120,18 +122,18 @@
     tenants = [f"t{index:03d}" for index in draw.sample(range(60), count)]
     crowds = tuple(Crowd(tenant, 0.0, 0.0, 1.5) for tenant in tenants[: count // 2])
     scout = World(replace(spec, wide=tuple(tenants)), seed)
-    first: list[Move] = []
-    later: list[Move] = []
+    first: list[TenantMigration] = []
+    later: list[TenantMigration] = []
     for at, tenant in enumerate(tenants):
         target = f"c{(scout.blocks[tenant] + 1) % spec.cells}"
         start = int(draw.uniform(16.0, 45.0) * SECOND)
         pauses = ((start + 8 * SECOND, start + 12 * SECOND),) if at % 5 == 3 else ()
-        move = Move(tenant, target, 1, start, 3 * SECOND, 15 * SECOND, 70 * SECOND, pauses)
+        move = TenantMigration(tenant, target, 1, start, 3 * SECOND, 15 * SECOND, 70 * SECOND, pauses)
         first.append(move)
         if at % 5 == 1:  # moved back home before the first move is done
             later += [
                 move,
-                Move(
+                TenantMigration(
                     tenant,
                     f"c{scout.blocks[tenant]}",
                     2,
@@ -142,7 +144,7 @@
                 ),
             ]
         elif at % 5 == 2:
-            later.append(replace(move, back_us=start + 11 * SECOND))
+            later.append(replace(move, rollback_us=start + 11 * SECOND))
         else:
             later.append(move)
     crowds = tuple(
@@ -170,7 +172,7 @@
         move.tenant: move.start_us + move.prepare_us + move.shift_us + sum(to - at for at, to in move.pauses)
         for move in first
         if len([each for each in later if each.tenant == move.tenant]) == 1
-        and not any(each.back_us for each in later if each.tenant == move.tenant)
+        and not any(each.rollback_us for each in later if each.tenant == move.tenant)
     }
     size = spec.nodes // spec.cells
 
--- a/lotuspick/program/commands/cells.py
+++ b/lotuspick/program/commands/cells.py
@@ -95,7 +95,7 @@
     atlas, known = _atlas(plan, nodes)
     typer.echo(
         f"{path}: epoch {plan.epoch}, {len(plan.cells)} cells, {len(plan.rules)} rules, "
-        f"{len(plan.moves)} moves"
+        f"{len(plan.migrations)} moves"
     )
     if not known:
         typer.echo("no nodes are known: sizes and reach need --config or PROXY_CONFIG")
@@ -143,16 +143,16 @@
         )
     console = Console(width=120, highlight=False)
     console.print(table)
-    if plan.moves:
+    if plan.migrations:
         table = Table("tenant", "epoch", "from", "to", "stage", "taken over", title="moves")
-        for move in plan.moves:
+        for move in plan.migrations:
             table.add_row(
                 move.tenant,
                 str(move.epoch),
                 atlas.base_cell(move.tenant, "")[0],
-                move.to,
-                migration.stage(move, now).value,
-                f"{migration.share(move, now):.0%}",
+                move.target_cell,
+                migration.stage_at(move, now).value,
+                f"{migration.share_at(move, now):.0%}",
             )
         console.print(table)
 
@@ -173,13 +173,13 @@
     atlas, known = _atlas(plan, nodes)
     base, weight = atlas.base_cell(tenant, lesson)
     typer.echo(f"cell: {base}" + (f", weight {weight:g}" if weight else ""))
-    for move in atlas.moves_by_tenant.get(tenant, ()):
+    for move in atlas.migrations_by_tenant.get(tenant, ()):
         typer.echo(
-            f"move {move.epoch} to {move.to}: {migration.stage(move, now).value}, "
-            f"{migration.share(move, now):.0%} of its viewers"
+            f"move {move.epoch} to {move.target_cell}: {migration.stage_at(move, now).value}, "
+            f"{migration.share_at(move, now):.0%} of its viewers"
         )
     cell = atlas.cell_for(tenant, lesson, viewer, False, now)
-    if atlas.moves_by_tenant.get(tenant):
+    if atlas.migrations_by_tenant.get(tenant):
         typer.echo(f"viewer {viewer!r}: {cell}")
     if not known:
         return
@@ -249,10 +249,10 @@
     beside = path.with_suffix(".new")
     beside.write_text(text, encoding="utf-8")
     beside.replace(path)
-    last = [each for each in made.moves if each.tenant == tenant][-1]
+    last = [each for each in made.migrations if each.tenant == tenant][-1]
     typer.echo(
-        f"{path}: epoch {made.epoch}; move {last.epoch} of {tenant} to {last.to}: "
-        f"{migration.stage(last, int(now.timestamp() * SECOND)).value}; send SIGHUP to the brokers"
+        f"{path}: epoch {made.epoch}; move {last.epoch} of {tenant} to {last.target_cell}: "
+        f"{migration.stage_at(last, int(now.timestamp() * SECOND)).value}; send SIGHUP to the brokers"
     )
 
 
@@ -260,16 +260,16 @@
     """Pause, resume or roll back the tenant's last move."""
     if not own:
         raise _fail(f"{tenant} has no move")
-    entry, last = own[-1], [each for each in plan.moves if each.tenant == tenant][-1]
-    at = migration.stage(last, int(now.timestamp() * SECOND))
+    entry, last = own[-1], [each for each in plan.migrations if each.tenant == tenant][-1]
+    at = migration.stage_at(last, int(now.timestamp() * SECOND))
     pauses = entry.get("pauses", [])
     open_end = bool(pauses) and len(pauses[-1]) == 1
     what = f"move {last.epoch} of {tenant}"
     if at in (
-        migration.Stage.DONE,
-        migration.Stage.UNDONE,
-        migration.Stage.RETURNING,
-        migration.Stage.EMPTYING,
+        migration.MigrationStage.DONE,
+        migration.MigrationStage.UNDONE,
+        migration.MigrationStage.RETURNING,
+        migration.MigrationStage.EMPTYING,
     ):
         raise _fail(f"{what} is {at.value}")
     if pause and open_end:
--- a/lotuspick/program/components.py
+++ b/lotuspick/program/components.py
@@ -115,7 +115,7 @@
         if plan is None:
             return False  # to switch cells on or off takes a restart
         try:
-            self.constraint_provider.take(plan, now_us())
+            self.constraint_provider.apply_plan(plan, now_us())
         except ValueError as error:
             log.error("cell_plan_rejected", extra={"reason": str(error)})
             return False
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -18,8 +18,8 @@
 from lotuspick.cells.constraints import CellConstraints
 from lotuspick.cells.directory import CellDirectory, shuffle_shard
 from lotuspick.cells.exposure import exposure
-from lotuspick.cells.migration import Stage
-from lotuspick.cells.model import Limits, Move, Plan, PlanError
+from lotuspick.cells.migration import MigrationStage
+from lotuspick.cells.model import Limits, Plan, PlanError, TenantMigration
 from lotuspick.cells.plan_file import parse
 from lotuspick.cells.returning_viewers import ReturningViewers
 from lotuspick.core.actions import FailSession, ForwardAttempt, RejectSession
@@ -195,23 +195,25 @@
         self.assertEqual(titles, {"a", "b", "c"})  # nameless and by hash: spread by lesson, not all in one
 
 
-MOVE = Move("t", "b", 1, NOW, 10 * SECOND, 100 * SECOND, 50 * SECOND)
+MOVE = TenantMigration("t", "b", 1, NOW, 10 * SECOND, 100 * SECOND, 50 * SECOND)
 
 
 class Moving(unittest.TestCase):
     def test_stages_by_the_clock_alone(self) -> None:
         at = [
-            (-1, Stage.DECLARED),
-            (5, Stage.PREPARED),
-            (60, Stage.SHIFTING),
-            (111, Stage.DRAINING),
-            (161, Stage.DONE),
+            (-1, MigrationStage.DECLARED),
+            (5, MigrationStage.PREPARED),
+            (60, MigrationStage.SHIFTING),
+            (111, MigrationStage.DRAINING),
+            (161, MigrationStage.DONE),
         ]
-        self.assertEqual([migration.stage(MOVE, NOW + s * SECOND) for s, _ in at], [stage for _, stage in at])
-        self.assertAlmostEqual(migration.share(MOVE, NOW + 60 * SECOND), 0.5)
+        self.assertEqual(
+            [migration.stage_at(MOVE, NOW + s * SECOND) for s, _ in at], [stage for _, stage in at]
+        )
+        self.assertAlmostEqual(migration.share_at(MOVE, NOW + 60 * SECOND), 0.5)
 
     def test_pauses_and_rollback(self) -> None:
-        paused = Move(
+        paused = TenantMigration(
             "t",
             "b",
             1,
@@ -223,15 +225,15 @@
             NOW + 70 * SECOND,
         )
         at = [
-            (40, Stage.PAUSED, 0.3),
-            (60, Stage.SHIFTING, 0.4),
-            (90, Stage.RETURNING, 0.3),
-            (125, Stage.EMPTYING, 0.0),
-            (180, Stage.UNDONE, 0.0),
+            (40, MigrationStage.PAUSED, 0.3),
+            (60, MigrationStage.SHIFTING, 0.4),
+            (90, MigrationStage.RETURNING, 0.3),
+            (125, MigrationStage.EMPTYING, 0.0),
+            (180, MigrationStage.UNDONE, 0.0),
         ]
         for second, stage, share in at:
-            self.assertIs(migration.stage(paused, NOW + second * SECOND), stage)
-            self.assertAlmostEqual(migration.share(paused, NOW + second * SECOND), share)
+            self.assertIs(migration.stage_at(paused, NOW + second * SECOND), stage)
+            self.assertAlmostEqual(migration.share_at(paused, NOW + second * SECOND), share)
 
     @given(st.floats(0, 1, exclude_max=True), st.lists(st.integers(0, 300), min_size=2))
     def test_no_viewer_goes_to_and_fro(self, point: float, seconds: list[int]) -> None:
@@ -242,7 +244,7 @@
     def test_share_is_within_bounds_and_moves_no_faster_than_stated(
         self, second: int, begin: int, long: int, back: int | None
     ) -> None:
-        move = Move(
+        move = TenantMigration(
             "t",
             "b",
             1,
@@ -253,10 +255,14 @@
             ((NOW + begin * SECOND, NOW + (begin + long) * SECOND),),
             NOW + back * SECOND if back is not None else 0,
         )
-        one, two = (migration.share(move, NOW + at * SECOND) for at in (second, second + 1))
+        one, two = (migration.share_at(move, NOW + at * SECOND) for at in (second, second + 1))
         self.assertTrue(0 <= one <= 1)
         self.assertLessEqual(abs(two - one), 0.01 + 1e-9)
-        if migration.stage(move, NOW + second * SECOND) in (Stage.DECLARED, Stage.PREPARED, Stage.UNDONE):
+        if migration.stage_at(move, NOW + second * SECOND) in (
+            MigrationStage.DECLARED,
+            MigrationStage.PREPARED,
+            MigrationStage.UNDONE,
+        ):
             self.assertEqual(one, 0.0)
 
     def test_a_second_move_before_the_first_is_done_and_its_rollback(self) -> None:
@@ -274,7 +280,7 @@
             [split(second) for second in (99, 130, 180, 210, 251)],
             [{"a"}, {"a", "b"}, {"a", "b", "c"}, {"b", "c"}, {"b"}],
         )
-        self.assertEqual(set(atlas.cells_during_move("t", "", 180 * SECOND)), {"a", "b", "c"})
+        self.assertEqual(set(atlas.cells_during_migration("t", "", 180 * SECOND)), {"a", "b", "c"})
 
 
 class Budgets(unittest.TestCase):
@@ -479,7 +485,7 @@
         for at in range(60):
             now = (100 + 2 * at) * SECOND
             self.assertEqual(self.ask(old, f"q{at}", now).servers, self.ask(new, f"q{at}", now).servers)
-        self.assertEqual(old.moves.stages, new.moves.stages)
+        self.assertEqual(old.migrations.stages, new.migrations.stages)
 
     def test_plans_are_taken_in_the_order_of_their_epochs(self) -> None:
         made = guide(plan("epoch = 5\n" + ASSIGNED))
@@ -487,8 +493,8 @@
         made.on_event(NOW, ForwardAttempt("x", "s0", SECOND))
         for text, wanted in (("epoch = 4\n", "must not fall"), ("epoch = 5\n", "must rise")):
             with self.assertRaisesRegex(PlanError, wanted):
-                made.take(plan(text), NOW)
-        made.take(plan("epoch = 6\n", CELLS.replace("cells.a", "cells.z")), NOW)  # its cell is gone
+                made.apply_plan(plan(text), NOW)
+        made.apply_plan(plan("epoch = 6\n", CELLS.replace("cells.a", "cells.z")), NOW)  # its cell is gone
         made.on_event(NOW, SessionStarted("x", 0, "s0"))
         self.assertEqual(made.sessions["x"].counted_in, ("z",))
         made.on_event(NOW, AttemptEnded("x", 0, "s0", "served", final=True))
@@ -651,7 +657,7 @@
     )
     def take(self, cells: str) -> None:
         self.epoch += 1
-        self.guide.take(plan(f"epoch = {self.epoch}\n" + ASSIGNED + self.moving, cells), self.now)
+        self.guide.apply_plan(plan(f"epoch = {self.epoch}\n" + ASSIGNED + self.moving, cells), self.now)
 
     @invariant()
     def counts_are_those_of_the_sessions(self) -> None:
--- a/tests/test_cells_live.py
+++ b/tests/test_cells_live.py
@@ -153,14 +153,14 @@
 
         ask("a")
         self.assertEqual(library.did[-1][1], "s0")
-        plugin.change(lambda at: guide.take(parse(tomllib.loads(MOVE)), at))
+        plugin.change(lambda at: guide.apply_plan(parse(tomllib.loads(MOVE)), at))
         ask("b")
         self.assertEqual(library.did[-1][1], "s1")
         for name in ("c", "d", "e"):
             ask(name, viewer="v", returned=True)
         self.assertEqual([type(answer) for answer in answers][-1:], [Refused])
         with self.assertRaisesRegex(PlanError, "epoch must not fall"):
-            plugin.change(lambda at: guide.take(parse(tomllib.loads(PLAN)), at))
+            plugin.change(lambda at: guide.apply_plan(parse(tomllib.loads(PLAN)), at))
 
 
 class CommandLine(unittest.TestCase):
@@ -245,6 +245,6 @@
             code, text = self.run_it("move", "calm", word)
             self.assertEqual(code, 0, text)
         self.assertEqual(self.run_it("move", "storm", "--back"), (2, "lotuspick: storm has no move\n"))
-        moves = parse(tomllib.loads(self.cells.read_text())).moves
+        moves = parse(tomllib.loads(self.cells.read_text())).migrations
         self.assertEqual(len(moves[0].pauses), 1)
-        self.assertGreaterEqual(moves[0].back_us, moves[0].start_us)
+        self.assertGreaterEqual(moves[0].rollback_us, moves[0].start_us)
--- a/tests/test_cells_parts.py
+++ b/tests/test_cells_parts.py
@@ -10,9 +10,9 @@
 from lotuspick.cells.budgets import Budget, DecayingCount
 from lotuspick.cells.cell_status import CellStatus
 from lotuspick.cells.directory import CellDirectory
-from lotuspick.cells.migration import Stage
-from lotuspick.cells.model import Cell, Limits, Move, Plan, PlanError, Selector
-from lotuspick.cells.move_tracker import MoveTracker
+from lotuspick.cells.migration import MigrationStage
+from lotuspick.cells.migration_tracker import MigrationTracker
+from lotuspick.cells.model import Cell, Limits, Plan, PlanError, Selector, TenantMigration
 from lotuspick.cells.returning_viewers import RecentNames, ReturningViewers
 from lotuspick.cells.session_counts import CellSession, SessionCounts
 from lotuspick.cells.toml_values import (
@@ -178,21 +178,21 @@
 
 class Moves(unittest.TestCase):
     def test_each_stage_is_recorded_once_and_asks_for_a_recount_where_sessions_count_elsewhere(self) -> None:
-        move = Move("t", "b", 1, NOW, 10 * SECOND, 10 * SECOND, 10 * SECOND)
-        directory = CellDirectory(Plan({"a": Cell("a"), "b": Cell("b")}, moves=(move,)), 1)
+        move = TenantMigration("t", "b", 1, NOW, 10 * SECOND, 10 * SECOND, 10 * SECOND)
+        directory = CellDirectory(Plan({"a": Cell("a"), "b": Cell("b")}, migrations=(move,)), 1)
         events = RateLimitedEvents()
-        tracker = MoveTracker(events, lambda tenant: 7)
+        tracker = MigrationTracker(events, lambda tenant: 7)
         recounts = [tracker.update(NOW + second * SECOND, directory) for second in (-1, 5, 6, 15, 25, 35)]
         self.assertEqual(recounts, [False, False, False, True, True, True])
         recorded = events.take_events()
         stages = ["declared", "prepared", "shifting", "draining", "done"]
         self.assertEqual([each.fields["stage"] for each in recorded], stages)
         self.assertEqual({each.fields["stand"] for each in recorded}, {7})
-        self.assertEqual(tracker.stages, {("t", 1): Stage.DONE})
+        self.assertEqual(tracker.stages, {("t", 1): MigrationStage.DONE})
 
     def test_stage_of_a_move_that_left_the_plan_is_forgotten(self) -> None:
-        cells, tracker = {"b": Cell("b")}, MoveTracker(RateLimitedEvents(), lambda tenant: 0)
-        tracker.update(NOW, CellDirectory(Plan(cells, moves=(Move("t", "b", 1, NOW),)), 1))
+        cells, tracker = {"b": Cell("b")}, MigrationTracker(RateLimitedEvents(), lambda tenant: 0)
+        tracker.update(NOW, CellDirectory(Plan(cells, migrations=(TenantMigration("t", "b", 1, NOW),)), 1))
         tracker.update(NOW, CellDirectory(Plan(cells, 2), 1))
         self.assertEqual(tracker.stages, {})
 
