--- a/lotuspick/cells/constraints.py
+++ b/lotuspick/cells/constraints.py
@@ -179,11 +179,11 @@
         if status.update_contention(now, self.plan.fair_share.contended_from):
             self.events.record(
                 now,
-                "cell contended" if status.contended else "cell at ease",
+                "cell_contended" if status.contended else "cell_contention_ended",
                 name,
                 cell=name,
                 load=round(status.mean_load(), 2),
-                refused=round(status.rejections.read(now), 1),
+                rejections=round(status.rejections.read(now), 1),
             )
         return status.contended
 
@@ -196,13 +196,13 @@
         retry_after_us = budget.retry_after_us(excess, draw)
         self.events.record(
             now,
-            "turned away",
+            "session_rejected",
             f"{reason} {budget.name}",
             reason=reason,
             tenant=session.request.tenant,
             cell=session.cell,
             excess=round(excess, 2),
-            gap_ms=retry_after_us // 1_000,
+            retry_after_ms=retry_after_us // 1_000,
         )
         return PlacementConstraint(reason=reason, retry_after_us=retry_after_us)
 
@@ -248,12 +248,12 @@
             if undersized.get(name) == self._undersized.get(name):
                 continue
             if name not in undersized:
-                event = "cell large enough"
+                event = "cell_size_restored"
             else:
-                event = "cell too small" if undersized[name] else "cell empty"
-            nodes = len(self.directory.servers_by_cell[name])
+                event = "cell_undersized" if undersized[name] else "cell_empty"
+            servers = len(self.directory.servers_by_cell[name])
             self.events.record(
-                now, event, name, cell=name, nodes=nodes, holders=cell.holders, policy=cell.small
+                now, event, name, cell=name, servers=servers, holders=cell.holders, policy=cell.small
             )
         self._undersized = undersized
 
@@ -356,11 +356,11 @@
         self.counts.apply_plan(self.directory, self.statuses, now)
         self.events.record(
             now,
-            "plan taken",
+            "cell_plan_applied",
             str(plan.epoch),
             epoch=plan.epoch,
             cells=len(plan.cells),
-            moves=len(plan.migrations),
+            migrations=len(plan.migrations),
         )
         self._record_undersized(now)
         self._check_migrations(now)
@@ -382,16 +382,16 @@
         contended = [name for name, status in self.statuses.items() if status.contended]
         fields: dict[str, str | int | float] = {
             "epoch": self.plan.epoch,
-            "let_in": self._admitted,
-            "elsewhere": self._sent_elsewhere,
-            "held": len(self.sessions),
+            "admitted": self._admitted,
+            "sent_elsewhere": self._sent_elsewhere,
+            "sessions": len(self.sessions),
             "tenants": len(self.tenants),
             "contended": ",".join(contended) or "none",
-            "small": ",".join(self._undersized) or "none",
+            "undersized": ",".join(self._undersized) or "none",
         }
         fields |= {
-            f"refused_{reason.replace('-', '_')}": count for reason, count in sorted(self._rejected.items())
+            f"rejected_{reason.replace('-', '_')}": count for reason, count in sorted(self._rejected.items())
         }
         self._admitted = self._sent_elsewhere = 0
         self._rejected.clear()
-        return OperatorEvent("cells", fields)
+        return OperatorEvent("cells_summary", fields)
--- a/lotuspick/cells/migration_tracker.py
+++ b/lotuspick/cells/migration_tracker.py
@@ -38,14 +38,14 @@
     ) -> None:
         self._events.record(
             now,
-            "move",
+            "migration_stage_changed",
             f"{migration.tenant} {migration.epoch} {current.value}",
             tenant=migration.tenant,
             epoch=migration.epoch,
             stage=current.value,
-            cell=directory.base_cell(migration.tenant, "")[0],
-            to=migration.target_cell,
+            source_cell=directory.base_cell(migration.tenant, "")[0],
+            target_cell=migration.target_cell,
             share=round(share_at(migration, now), 3),
-            nodes=len(directory.servers_by_cell[migration.target_cell]),
-            stand=self._playing_of(migration.tenant),
+            servers=len(directory.servers_by_cell[migration.target_cell]),
+            playing=self._playing_of(migration.tenant),
         )
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -446,12 +446,12 @@
             NOW, ServerListUpdate([entry(at, state="draining" if at else "gone") for at in range(4)])
         )
         self.assertEqual(
-            [(each.name, each.fields["nodes"]) for each in made.take_events()], [("cell empty", 0)]
+            [(each.name, each.fields["servers"]) for each in made.take_events()], [("cell_empty", 0)]
         )
         self.assertEqual(self.ask(made, "x", copies=6).servers, {"s4", "s5"})
         self.assertEqual(self.ask(made, "y", copies=3).reason, "too-small")
         made.on_event(NOW + SECOND, ServerListUpdate([entry(at) for at in range(4)]))
-        self.assertEqual(made.take_events()[-1].name, "cell large enough")
+        self.assertEqual(made.take_events()[-1].name, "cell_size_restored")
 
     def test_standing_sessions_count_in_both_cells_until_the_deadline(self) -> None:
         text = (
@@ -470,7 +470,7 @@
         self.assertEqual(seen, [("a",), ("a",), ("a", "b"), ("a", "b"), ("a",)])
         self.assertEqual(self.ask(made, "y", 181 * SECOND, viewer="x").servers, {"s4", "s5", "s6", "s7"})
         self.assertEqual(
-            [each.fields["stage"] for each in made.take_events() if each.name == "move"],
+            [each.fields["stage"] for each in made.take_events() if each.name == "migration_stage_changed"],
             ["declared", "prepared", "shifting", "draining", "done"],
         )
 
@@ -510,9 +510,9 @@
         made = guide(plan(ASSIGNED))
         for at in range(500):
             self.ask(made, f"s{at}", returned=True)
-        self.assertEqual(sum(each.name == "turned away" for each in made.take_events()), 1)
+        self.assertEqual(sum(each.name == "session_rejected" for each in made.take_events()), 1)
         self.ask(made, "later", NOW + 10 * SECOND + 1, returned=True)
-        self.assertGreater(made.summary().fields["refused_budget_tenant"], 400)
+        self.assertGreater(made.summary().fields["rejected_budget_tenant"], 400)
 
 
 class Core(unittest.TestCase):
--- a/tests/test_cells_parts.py
+++ b/tests/test_cells_parts.py
@@ -187,7 +187,7 @@
         recorded = events.take_events()
         stages = ["declared", "prepared", "shifting", "draining", "done"]
         self.assertEqual([each.fields["stage"] for each in recorded], stages)
-        self.assertEqual({each.fields["stand"] for each in recorded}, {7})
+        self.assertEqual({each.fields["playing"] for each in recorded}, {7})
         self.assertEqual(tracker.stages, {("t", 1): MigrationStage.DONE})
 
     def test_stage_of_a_move_that_left_the_plan_is_forgotten(self) -> None:
