--- a/lotuspick/entitlement/constraints.py
+++ b/lotuspick/entitlement/constraints.py
@@ -28,7 +28,7 @@
 from lotuspick.entitlement.ledger import Ledger, Record, State, Verdict
 from lotuspick.entitlement.model import Seat, TokenError, TokenRejection
 from lotuspick.entitlement.request_check import check_request_token
-from lotuspick.entitlement.seat_session import Journal, Rules, SeatSession, SeatTermination
+from lotuspick.entitlement.seat_session import Journal, Rules, SeatChange, SeatSession, SeatTermination
 from lotuspick.entitlement.tokens import TokenVerifier
 
 SECOND_US = 1_000_000
@@ -66,17 +66,13 @@
         journal: Journal,
         wall: Callable[[], float],
     ) -> None:
-        self.rules, self.verifier, self.ledger, self.journal, self.wall = (
-            rules,
-            verifier,
-            ledger,
-            journal,
-            wall,
-        )
+        self.rules, self.verifier, self.ledger = rules, verifier, ledger
+        self.journal, self.wall = journal, wall
         self.sessions: dict[str, SeatSession] = {}
         self.revoked: Mapping[str, int] = {}
         self.events = RateLimitedEvents()
-        self.counts: Counter[str] = Counter()  # since the last summary
+        self.counts: Counter[SeatChange] = Counter()  # since the last summary
+        self.rejections: Counter[str] = Counter()  # by reason, since the last summary
         self._terminations: deque[tuple[str, SeatTermination]] = deque()
         self._unwritten: dict[str, Record] = {}  # by seat: the write failed, and is retried
         self._pending = PlacementConstraint(pending_reason=STORE, retry_after_us=self._retry_after_us)
@@ -136,7 +132,7 @@
         session.reserved, session.reservation_durable = True, record is None
         if record is None:
             return UNCONSTRAINED
-        self.counts["reserved"] += 1
+        self.counts[SeatChange.RESERVED] += 1
         if before is not None and before.state is State.COUNTED:
             session.supersedes = before.session
         self.journal.submit(record, lambda error: self._on_reservation_written(session, error))
@@ -148,7 +144,7 @@
     def _reject(self, now: int, request: SessionRequest, reason: str, detail: str) -> PlacementConstraint:
         self.events.record(
             now,
-            "turned away",
+            "session_rejected",
             reason,
             reason=reason,
             session=request.session,
@@ -195,7 +191,7 @@
         session.attempt_in_flight, session.playing = False, True
         self._set_lapse(session, now)
         before = self.ledger.records[session.seat.seat]
-        self.counts["again" if before.counted else "counted"] += 1
+        self.counts[SeatChange.RETURNED if before.counted else SeatChange.COUNTED] += 1
         self._write(self.ledger.mark_executed(self.wall(), event.session))
         if session.supersedes in self.sessions:
             self._terminations.append((session.supersedes, SeatTermination.SUPERSEDED))
@@ -213,14 +209,14 @@
             return
         session.attempt_in_flight = False
         if event.outcome not in PROVES_NOT_EXECUTED:
-            self.counts["doubt"] += 1
+            self.counts[SeatChange.MARKED_INDETERMINATE] += 1
             self._write(self.ledger.mark_indeterminate(event.session))
         if event.final or session.answered:
             self._discard(session)
 
     def _on_answered(self, action: RejectSession | FailSession, _now: int) -> None:
         if isinstance(action, RejectSession) and action.reason:
-            self.counts[action.reason] += 1
+            self.rejections[action.reason] += 1
         self._mark_answered(action.session)
 
     def _on_viewer_disconnected(self, event: ViewerDisconnected, _now: int) -> None:
@@ -268,7 +264,7 @@
         elif (record := self.ledger.mark_executed(self.wall(), session)) is not None:
             record = self.ledger.mark_ended(self.wall(), session, vacant=True) or record
         self._write(record)
-        self.counts["proved"] += record is not None
+        self.counts[SeatChange.RESOLVED] += record is not None
         return record is not None
 
     def _write(self, record: Record | None) -> None:
@@ -309,7 +305,7 @@
         if record is None:
             done("")  # a duplicate, or overtaken by a newer one
             return
-        self.counts["renewed"] += 1
+        self.counts[SeatChange.RENEWED] += 1
 
         def on_written(error: str) -> None:
             self._on_written(record, error)
@@ -348,7 +344,7 @@
         """Periodic work: end what has lapsed, retry failed writes, drop seats that nobody needs."""
         for name, session in self.sessions.items():
             if session.playing and session.lapses_at_us <= now:
-                self.counts["lapsed"] += 1
+                self.counts[SeatChange.LAPSED] += 1
                 session.lapses_at_us = now + TERMINATION_REPEAT_US
                 self._terminations.append((name, SeatTermination.LAPSED))
         unwritten, self._unwritten = self._unwritten, {}
@@ -374,10 +370,14 @@
         """What happened since the last summary, and the present totals."""
         fields: dict[str, str | int | float] = {
             "seats": len(self.ledger.records),
-            "held": len(self.sessions),
-            "in_doubt": self.ledger.indeterminate_count,
+            "sessions": len(self.sessions),
+            "indeterminate": self.ledger.indeterminate_count,
             "unwritten": len(self._unwritten),
         }
-        fields |= {key.replace("-", "_"): count for key, count in sorted(self.counts.items())}
+        fields |= {change.value: count for change, count in sorted(self.counts.items())}
+        fields |= {
+            f"rejected_{reason.replace('-', '_')}": count for reason, count in sorted(self.rejections.items())
+        }
         self.counts.clear()
-        return OperatorEvent("seats", fields)
+        self.rejections.clear()
+        return OperatorEvent("entitlement_summary", fields)
--- a/lotuspick/entitlement/seat_session.py
+++ b/lotuspick/entitlement/seat_session.py
@@ -36,6 +36,21 @@
     """Its viewer came again and plays in a newer session."""
 
 
+class SeatChange(StrEnum):
+    """What is counted between two summaries. The values are keys of ``entitlement_summary``."""
+
+    RESERVED = "reserved"
+    COUNTED = "counted"
+    """A session plays, and its seat is counted: once for good."""
+    RETURNED = "returned"
+    """A viewer plays again on its seat, which was counted before."""
+    MARKED_INDETERMINATE = "marked_indeterminate"
+    RESOLVED = "resolved"
+    """Proof came of an indeterminate seat."""
+    RENEWED = "renewed"
+    LAPSED = "lapsed"
+
+
 @dataclass(frozen=True, slots=True)
 class Rules:
     """Settings of an installation's entitlements."""
--- a/lotuspick/program/components.py
+++ b/lotuspick/program/components.py
@@ -131,7 +131,7 @@
 
         assert broker.config.seats is not None
         self.seats = Entitlement(broker.config.seats, broker.reactor.callFromThread, broker.post)
-        self.constraint_provider = self.seats.guide
+        self.constraint_provider = self.seats.constraints
         self.renew_token: RenewToken | None = lambda session, token, done: self.seats.renew(
             now_us(), session, token, done
         )
@@ -142,7 +142,7 @@
 
     def reload(self, new: Config, applied: Config) -> Config:
         """Apply what the subsystem can."""
-        self.seats.reload(now_us())
+        self.seats.reload()
         return applied
 
     def close(self) -> None:
--- a/tests/test_seats_live.py
+++ b/tests/test_seats_live.py
@@ -207,7 +207,7 @@
             b send KILL
             b expect EXIT code=-9
             b send START
-            b expect LINE in_doubt=1
+            b expect LINE msg=ledger_restored indeterminate=1
             v2 send SETUP s3 kind=exam token=A viewer=1
             e0 expect OPENED
             e0 expect SETUP s3
@@ -222,7 +222,7 @@
         )
         world.play("""
             b send HUP
-            b expect LINE settled=1
+            b expect LINE msg=proofs_applied resolved=1
             v2 send SETUP s5 kind=exam token=B viewer=2
             e0 expect SETUP s5
         """)
@@ -343,7 +343,9 @@
             )
             self.addCleanup(seats.close)
             library, answers, heard = Library(), list[Answer](), list[str]()
-            plugin = Plugin(settings(classes=CLASSES), 7, library, clock=lambda: now[0], guide=seats.guide)
+            plugin = Plugin(
+                settings(classes=CLASSES), 7, library, clock=lambda: now[0], guide=seats.constraints
+            )
             plugin.servers(ServerListUpdate([entry(0)], complete=True))
 
             def token(epoch: int = 0) -> str:
