--- a/lotuspick/membership/constraints.py
+++ b/lotuspick/membership/constraints.py
@@ -19,9 +19,10 @@
     Plain sessions are never constrained.
 
     Args:
-        quorum: the tracker of this broker's quorum state. paid: classes whose sessions are paid for. clock:
-        by which the quorum state is tracked (us). It goes on while the machine sleeps, so that a process that
-            was away knows it before it promises anything.
+        quorum: the tracker of this broker's quorum state.
+        paid: classes whose sessions are paid for.
+        clock: by which the quorum state is tracked (us). It goes on while the machine sleeps, so that a
+            process that was away knows it before it promises anything.
         retry_after_us: given with each rejection.
     """
 
--- a/lotuspick/membership/members.py
+++ b/lotuspick/membership/members.py
@@ -13,6 +13,7 @@
 
 import msgspec
 
+from lotuspick.membership.failure_detector import SuspectedMember
 from lotuspick.membership.model import (
     MAX_RECORDS,
     Ack,
@@ -21,6 +22,7 @@
     Drain,
     Leave,
     MembershipError,
+    MonitoringReport,
     News,
     Ping,
     Record,
@@ -29,6 +31,7 @@
     Stalled,
     State,
     Suspicion,
+    SuspicionReport,
     Sync,
 )
 from lotuspick.membership.rings import MonitoringRings
@@ -76,25 +79,15 @@
                 pass
         return self._effects
 
-    def explain(self, name: str, now: int) -> dict[str, object]:
-        """Why this broker believes what it does of a member, at a time (us).
-
-        Keys are those of the control port. They say who watches the member, how long this broker has heard
-        nothing of it where it is one of them, and who suspects it since when (all in ms).
-        """
+    def explain(self, name: str, now: int) -> MonitoringReport:
+        """Why this broker believes what it does of a member, at a time (us)."""
         detector = self.detector
-        answer: dict[str, object] = {"watchers": sorted(self._rings.watchers(name))}
-        if name in detector.last_heard_us:
-            answer["silent_ms"] = (now - detector.last_heard_us[name]) // 1_000
-        member = detector.suspected.get(name)
-        if member is not None:
-            answer["doubted_ms"] = (now - member.since_us) // 1_000
-            answer["accused_ms"] = {
-                source: (now - reported_us) // 1_000 for source, reported_us in sorted(member.by.items())
-            }
-        if name in detector.unheard_by:
-            answer["deaf_ms"] = (now - detector.unheard_by[name]) // 1_000
-        return answer
+        return MonitoringReport(
+            watchers=tuple(sorted(self._rings.watchers(name))),
+            last_heard_us_ago=_time_since(detector.last_heard_us.get(name), now),
+            suspicion=_report_suspicion(detector.suspected.get(name), now),
+            unheard_by_it_us_ago=_time_since(detector.unheard_by.get(name), now),
+        )
 
     def _on_command(self, command: object) -> None:
         match command:
@@ -289,3 +282,14 @@
         """News for one message; without a receiver it is for any member."""
         member = self.detector.suspected.get(receiver)
         return self._gossip.take(len(self.records), receiver, member.by if member else ())
+
+
+def _time_since(at_us: int | None, now: int) -> int | None:
+    return now - at_us if at_us is not None else None
+
+
+def _report_suspicion(member: SuspectedMember | None, now: int) -> SuspicionReport | None:
+    if member is None:
+        return None
+    reported_us_ago = {source: now - reported_us for source, reported_us in sorted(member.by.items())}
+    return SuspicionReport(now - member.since_us, reported_us_ago)
--- a/lotuspick/membership/model.py
+++ b/lotuspick/membership/model.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import IntEnum
 
@@ -175,6 +176,29 @@
     away_us: int
 
 
+@dataclass(frozen=True, slots=True)
+class SuspicionReport:
+    """For how long a member has been suspected, and by whom."""
+
+    suspected_for_us: int
+    reported_us_ago: Mapping[str, int]
+    """How long ago each of those who suspect it last reported so."""
+
+
+@dataclass(frozen=True, slots=True)
+class MonitoringReport:
+    """Why a broker believes what it does of a member."""
+
+    watchers: tuple[str, ...]
+    """Who watches the member."""
+    last_heard_us_ago: int | None
+    """How long the broker has heard nothing of the member; None: it does not watch it."""
+    suspicion: SuspicionReport | None
+    """None: nobody suspects the member."""
+    unheard_by_it_us_ago: int | None
+    """How long ago the member last reported to hear nothing of the broker; None: not lately."""
+
+
 @dataclass(frozen=True, slots=True)
 class Rules:
     """How members watch each other; all times in us."""
--- a/lotuspick/program/membership.py
+++ b/lotuspick/program/membership.py
@@ -1,22 +1,40 @@
-"""Membership put together: link, store, members and standing round the guide, and the answers to operators."""
+"""Membership of a broker in its fleet, built of link, store, members and quorum state, for the daemon.
+
+:class:`MembershipComponent` drives one :class:`~lotuspick.membership.members.Members`, logs what it reports,
+keeps track of the quorum state and answers operators at the control port. All of it runs on the reactor's
+thread, except for the commits to the store.
+"""
 
 from __future__ import annotations
 
 import logging
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from importlib import metadata
 from typing import Any
 
+import msgspec
+
 from lotuspick.core.constraints import ConstraintProvider
 from lotuspick.core.operator_events import OperatorEvent
 from lotuspick.core.settings import RetrySafety
 from lotuspick.membership.constraints import MembershipConstraints
 from lotuspick.membership.members import Members
 from lotuspick.membership.model import Begin, Changed, Displaced, Drain, Leave, Record, Stalled, State
-from lotuspick.membership.quorum import QuorumTracker
+from lotuspick.membership.quorum import QuorumState, QuorumTracker
 from lotuspick.program.components import Broker, Component
 from lotuspick.program.configuration import ConfigError
+from lotuspick.program.membership_answers import (
+    Answer,
+    DrainAnswer,
+    MembershipCounts,
+    MemberStatus,
+    ShowAnswer,
+    encode_answer,
+    encode_counts,
+    explain_answer,
+    member_status,
+)
 from lotuspick.state_machine import SendMessage
 from lotuspick.transport.control_port import ControlPort, ControlPortError
 from lotuspick.transport.peers.peer_connections import Peers
@@ -25,7 +43,11 @@
 
 log = logging.getLogger(__name__)
 
-SWEEP_S = 10
+LINK_SWEEP_TICKS = 10  # ticks, of a second each, between two looks for connections that are idle
+SEED_BITS = 62  # of what is drawn at the start
+MAX_MISSING_LOGGED = 16  # names of members in one log line
+MAX_NAME_SHOWN = 64  # characters of an unknown name that an error repeats
+US_PER_MS = 1_000
 
 
 class MembershipComponent(Component):
@@ -33,116 +55,133 @@
 
     def __init__(self, broker: Broker) -> None:
         super().__init__(broker)
-        told = broker.config.peers
-        assert told is not None
-        self.told = told
+        config = broker.config.peers
+        assert config is not None
+        self.config = config
         draw = random.SystemRandom()
         try:
-            self.store = StateMachineStore(told.store)
+            self.store = StateMachineStore(config.store)
             self.records = self.store.load()
-        except StoreError as fault:
-            raise ConfigError(f"peers: store: {fault}") from None
-        self.commits = GroupCommit(self.store, self._lasting, name="steps")
-        self.members = Members(told.watch)
-        self.standings = QuorumTracker(told.standing)
-        self.link = Peers(broker.reactor, told.listen[0], self._heard, told.via, draw.getrandbits(62))
+        except StoreError as error:
+            raise ConfigError(f"peers: store: {error}") from error
+        self.commits = GroupCommit(self.store, self._deliver_commits, name="steps")
+        self.members = Members(config.watch)
+        self.quorum = QuorumTracker(config.standing)
+        process_id = draw.getrandbits(SEED_BITS)
+        self.link = Peers(broker.reactor, config.listen[0], self._on_message, config.via, process_id)
         self.driver = Driver(
-            broker.reactor, self.members, self.commits.submit_all, self._send, self._told, fired=self._follow
-        )
-        paid = frozenset(
-            each.name
-            for each in broker.config.settings.classes
-            if each.retry_safety is RetrySafety.NOT_IDEMPOTENT
+            broker.reactor,
+            self.members,
+            self.commits.submit_all,
+            self._send,
+            self._on_notification,
+            fired=self._observe_quorum,
         )
-        self.fleet = MembershipConstraints(self.standings, paid, awake_us, told.gap_us)
-        self.constraint_provider: ConstraintProvider | None = self.fleet
-        self.seed = draw.getrandbits(62)
-        self._said = self.standings.state
-        self._ticks = self._stalls = 0
-        self._port: Any = None
+        self.constraints = MembershipConstraints(self.quorum, _paid_classes(broker), awake_us, config.gap_us)
+        self.constraint_provider: ConstraintProvider | None = self.constraints
+        self.seed = draw.getrandbits(SEED_BITS)
+        self._logged_state = self.quorum.state
+        self._ticks = self._stall_count = 0
+        self._control_port: Any = None
 
     def start(self) -> None:
-        told, broker = self.told, self.broker.config
-        address = self.link.listen(told.listen[1])
+        """Listen for other brokers and for operators, and join the fleet."""
+        config, broker = self.config, self.broker.config
+        address = self.link.listen(config.listen[1])
         self.driver.start(self.records, self.seed)
-        self.driver.ask(Begin(broker.name, address, told.seeds, broker.settings.zone, version(), told.offers))
+        self.driver.ask(
+            Begin(
+                broker.name, address, config.seeds, broker.settings.zone, installed_version(), config.offers
+            )
+        )
         control = ""
-        if told.control is not None:
-            self._port = ControlPort(self.answer).listen(self.broker.reactor, *told.control)
-            control = "{0.host}:{0.port}".format(self._port.getHost())
-        log.info("peers", extra={"address": address, "control": control, "seeds": ",".join(told.seeds)})
+        if config.control is not None:
+            self._control_port = ControlPort(self.answer).listen(self.broker.reactor, *config.control)
+            control = "{0.host}:{0.port}".format(self._control_port.getHost())
+        log.info(
+            "membership_started",
+            extra={"address": address, "control": control, "seeds": ",".join(config.seeds)},
+        )
 
     # ---- between link, store and members ------------------------------------------------------------------
 
-    def _heard(self, peer: str, message: Any) -> None:
+    def _on_message(self, peer: str, message: Any) -> None:
         self.driver.heard(peer, message)
 
     def _send(self, effect: SendMessage) -> None:
         self.link.send(effect.peer, effect.message, effect.reliable)
 
-    def _lasting(self, heard: list[tuple[Done, str]]) -> None:
-        """On the thread of the commits."""
+    def _deliver_commits(self, outcomes: list[tuple[Done, str]]) -> None:
+        """Bring the outcomes of a commit to the reactor; called on the thread of the commits."""
 
-        def tell() -> None:
-            for done, fault in heard:
-                done(fault)
+        def call_back() -> None:
+            for done, error in outcomes:
+                done(error)
 
-        self.broker.reactor.callFromThread(tell)
+        self.broker.reactor.callFromThread(call_back)
 
-    def _told(self, news: Any) -> None:
-        """What the members have to tell, each in a line of its own."""
-        match news:
-            case Changed(record=record, source=by, reason=why):
-                log.info("member", extra={**line(record), "by": by, "why": why})
+    def _on_notification(self, notification: Any) -> None:
+        """Log what the members report, each in a line of its own, and act on it."""
+        match notification:
+            case Changed(record=record, source=source, reason=reason):
+                log.info(
+                    "member_changed", extra={**_member_fields(record), "source": source, "reason": reason}
+                )
                 if record.state is not State.ALIVE:
                     self.link.gone(record.address)
             case Displaced(record=record):
-                log.error(
-                    "displaced: another process has this broker's name, no paid session is taken until a restart",
-                    extra=line(record),
-                )
+                log.error("broker_displaced", extra=_member_fields(record))
             case Stalled(away_us=away_us):
-                self._stalls += 1
-                self.standings.stalled(awake_us())
-                log.warning("stalled", extra={"away_ms": away_us // 1_000})
-
-    def _follow(self) -> None:
-        """Each period the standing is looked at; a change is a line."""
-        standing = self.standings.observe(awake_us(), self.members)
-        if standing is not self._said:
-            log.info(
-                "standing",
-                extra={
-                    "standing": standing.name.lower(),
-                    "before": self._said.name.lower(),
-                    "reached": len(self.members.reached()),
-                    "known": len(self.members.records),
-                    "missing": ",".join(sorted(self._missing())[:16]),
-                },
-            )
-            self._said = standing
+                self._stall_count += 1
+                self.quorum.stalled(awake_us())
+                log.warning("process_stalled", extra={"duration_ms": away_us // US_PER_MS})
+
+    def _observe_quorum(self) -> None:
+        """Take the quorum state, each period; a change is logged."""
+        state = self.quorum.observe(awake_us(), self.members)
+        if state is not self._logged_state:
+            self._log_quorum_state(state, self._logged_state)
+            self._logged_state = state
+
+    def _log_quorum_state(self, state: QuorumState, previous: QuorumState) -> None:
+        log.info(
+            "quorum_state_changed",
+            extra={
+                "quorum_state": state.name.lower(),
+                "previous_state": previous.name.lower(),
+                "reached": len(self.members.reached()),
+                "known": len(self.members.records),
+                "missing": ",".join(sorted(self._missing())[:MAX_MISSING_LOGGED]),
+            },
+        )
 
     def _missing(self) -> set[str]:
-        reached = {each.name for each in self.members.reached()}
+        """Members that belong to the fleet and are not reached."""
+        reached = {record.name for record in self.members.reached()}
         return {
             name
-            for name, each in self.members.records.items()
-            if each.state is not State.LEFT and name not in reached
+            for name, record in self.members.records.items()
+            if record.state is not State.LEFT and name not in reached
         }
 
     # ---- while it serves ----------------------------------------------------------------------------------
 
-    def tick(self, now: int, summary: bool) -> list[OperatorEvent]:
+    def tick(self, _now: int, summary: bool) -> list[OperatorEvent]:
+        """Close idle connections now and then; return a summary where it is asked for."""
         self._ticks += 1
-        if self._ticks % SWEEP_S == 0:
+        if self._ticks % LINK_SWEEP_TICKS == 0:
             self.link.sweep()
-        return [OperatorEvent("members", self.counts())] if summary else []
+        if not summary:
+            return []
+        fields = {**msgspec.structs.asdict(self.counts()), **self._link_counts()}
+        return [OperatorEvent("membership_summary", fields)]
 
     def stop_accepting(self) -> None:
-        """The last that it says: that it has left, so nobody has to find out."""
+        """Tell the others that this broker leaves, so that nobody has to detect it; it sends nothing more."""
         self.driver.ask(Leave())
 
     def close(self) -> None:
+        """Stop timers, close connections, write what is queued and close the store."""
         self.driver.close()
         self.link.close()
         self.commits.close()
@@ -150,91 +189,98 @@
 
     # ---- operators ----------------------------------------------------------------------------------------
 
-    def counts(self) -> dict[str, str | int]:
-        """Figures since the start."""
+    def counts(self) -> MembershipCounts:
+        """Present totals, and figures since the start."""
         members = self.members
-        return {
-            "standing": self.standings.state_at(awake_us()).name.lower(),
-            "alive": len(members.alive()),
-            "reached": len(members.reached()),
-            "accusations": members.detector.suspicions_raised,
-            "false_accusations": members.detector.false_suspicions,
-            "refutations": members.refutations,
-            "stalls": self._stalls,
-            "refused_messages": sum(members.rejected.values()),
-            "paid_turned_away": self.fleet.rejections.total(),
-            **{f"link_{key.replace('-', '_')}": count for key, count in sorted(self.link.counts.items())},
-        }
+        return MembershipCounts(
+            quorum_state=self.quorum.state_at(awake_us()).name.lower(),
+            alive=len(members.alive()),
+            reached=len(members.reached()),
+            suspicions=members.detector.suspicions_raised,
+            false_suspicions=members.detector.false_suspicions,
+            refutations=members.refutations,
+            stalls=self._stall_count,
+            rejected_messages=sum(members.rejected.values()),
+            paid_rejections=self.constraints.rejections.total(),
+        )
+
+    def answer(self, request: Mapping[str, Any]) -> dict[str, Any]:
+        """Answer one request of ``lotuspick members``.
 
-    def answer(self, asked: dict[str, Any]) -> dict[str, Any]:
-        """What a command asks. Raises :class:`ControlPortError`."""
-        name = asked.get("name")
-        asks: dict[str, Callable[[], dict[str, Any]]] = {
+        Args:
+            request: ``ask`` names what is asked, ``name`` the member that it is about.
+
+        Returns:
+            The JSON object of an answer; see :mod:`lotuspick.program.membership_answers`.
+
+        Raises:
+            ControlPortError: there is no such request or member, or the member has left already.
+        """
+        name = str(request.get("name"))
+        handlers: dict[str, Callable[[], Answer]] = {
             "show": self._show,
             "explain": lambda: self._explain(name),
             "drain": lambda: self._drain(name),
         }
-        what = asks.get(str(asked.get("ask")))
-        if what is None:
-            raise ControlPortError(f"ask must be one of {', '.join(asks)}")
-        return what()
+        handler = handlers.get(str(request.get("ask")))
+        if handler is None:
+            raise ControlPortError(f"ask must be one of {', '.join(handlers)}")
+        return encode_answer(handler())
+
+    def _show(self) -> ShowAnswer:
+        return ShowAnswer(
+            own=self.broker.config.name,
+            counts={**encode_counts(self.counts()), **self._link_counts()},
+            disk_error=self.driver.fault,
+            members=tuple(self._status(name) for name in sorted(self.members.records)),
+        )
 
-    def _show(self) -> dict[str, Any]:
-        return {
-            "own": self.broker.config.name,
-            "counts": self.counts(),
-            "disk": self.driver.fault,
-            "members": [self._member(name) for name in sorted(self.members.records)],
-        }
+    def _explain(self, name: str) -> Answer:
+        member = self._status(name)
+        return explain_answer(self.broker.config.name, member, self.members.explain(name, awake_us()))
 
-    def _record(self, name: object) -> Record:
-        record = self.members.records.get(str(name))
+    def _drain(self, name: str) -> DrainAnswer:
+        record = self._record(name)
+        if record.state is State.LEFT:
+            raise ControlPortError(f"{record.name} has left already")
+        self.driver.ask(Drain(record.name))
+        return DrainAnswer(own=self.broker.config.name, member=self._status(name))
+
+    def _status(self, name: str) -> MemberStatus:
+        return member_status(self.members, self._record(name), awake_us())
+
+    def _record(self, name: str) -> Record:
+        record = self.members.records.get(name)
         if record is None:
-            raise ControlPortError(f"no member is named {str(name)[:64]!r}")
+            raise ControlPortError(f"no member is named {name[:MAX_NAME_SHOWN]!r}")
         return record
 
-    def _member(self, name: str) -> dict[str, Any]:
-        members = self.members
-        record = self._record(name)
-        by, why = members.table.provenance[name]
-        return {
-            **line(record),
-            "offers": list(record.offers),
-            "accused_by": list(members.suspected().get(name, ())),
-            "reached": record in members.reached(),
-            "by": by,
-            "why": why,
-            "since_s": round((awake_us() - members.table.changed_at_us[name]) / 1e6, 1),
-        }
+    def _link_counts(self) -> dict[str, int]:
+        return {f"link_{key.replace('-', '_')}": count for key, count in sorted(self.link.counts.items())}
 
-    def _explain(self, name: object) -> dict[str, Any]:
-        return {
-            "own": self.broker.config.name,
-            "member": self._member(self._record(name).name),
-            **self.members.explain(self._record(name).name, awake_us()),
-        }
 
-    def _drain(self, name: object) -> dict[str, Any]:
-        record = self._record(name)
-        if record.state is State.LEFT:
-            raise ControlPortError(f"{record.name} has left already")
-        self.driver.ask(Drain(record.name))
-        return {"own": self.broker.config.name, "member": self._member(record.name)}
+def _paid_classes(broker: Broker) -> frozenset[str]:
+    return frozenset(
+        session_class.name
+        for session_class in broker.config.settings.classes
+        if session_class.retry_safety is RetrySafety.NOT_IDEMPOTENT
+    )
 
 
-def line(record: Record) -> dict[str, Any]:
-    """A member in a line's words."""
+def _member_fields(record: Record) -> dict[str, str | int]:
+    """The fields of log events on a member."""
     return {
         "member": record.name,
         "state": record.state.name.lower(),
-        "life": record.incarnation,
+        "incarnation": record.incarnation,
         "address": record.address,
         "zone": record.zone,
         "version": record.version,
     }
 
 
-def version() -> str:
+def installed_version() -> str:
+    """The version of the installed package; ``sources`` where none is installed."""
     try:
         return metadata.version("lotuspick")
     except metadata.PackageNotFoundError:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -38,7 +38,7 @@
             line
             for at in made.brokers
             for line in made.log(at).splitlines()
-            if re.search(rf"msg=member member={named} state=dead", line)
+            if re.search(rf"msg=member_changed member={named} state=dead", line)
         ]
 
     def judge(self, made: Fleet, hurt: set[int]) -> list[Call]:
@@ -109,7 +109,7 @@
         made.agree([0, 2, 3, 4], "majority")
         made.resume(1)
         made.agree(range(5))
-        self.assertIn("msg=stalled", made.log(1))
+        self.assertIn("msg=process_stalled", made.log(1))
         self.assertEqual(
             [line for line in made.log(1).splitlines() if "state=dead" in line], [], "it accuses nobody"
         )
@@ -180,7 +180,7 @@
         made.launch(5)
         made.stood([2], "displaced")
         made.stood([5], "whole")
-        self.assertIn('msg="displaced', made.log(2))
+        self.assertIn("msg=broker_displaced", made.log(2))
         before = len(made.ran())
         made.until(lambda: len(made.ran()) > before + 60, "set-ups run")
         calls = self.judge(made, {5})
--- a/tests/test_membership_parts.py
+++ b/tests/test_membership_parts.py
@@ -1,14 +1,17 @@
-"""The parts of membership by themselves: table, rings, failure detector and gossip."""
+"""The parts of membership by themselves: table, rings, failure detector, gossip, and what operators are answered."""
 
 from __future__ import annotations
 
+import json
 import unittest
 
 from lotuspick.membership.failure_detector import FailureDetector
 from lotuspick.membership.gossip import GossipQueue
-from lotuspick.membership.model import Record, Rules, State, Suspicion
+from lotuspick.membership.members import Members
+from lotuspick.membership.model import MonitoringReport, Record, Rules, State, Suspicion, SuspicionReport
 from lotuspick.membership.rings import MonitoringRings
 from lotuspick.membership.table import MembershipTable
+from lotuspick.program.membership_answers import MemberStatus, encode_answer, explain_answer
 
 MS = 1_000
 RULES = Rules(period_us=300 * MS, silent_us=700 * MS, doubt_us=1_300 * MS, quorum=2)
@@ -205,5 +208,59 @@
         self.assertEqual([queue.take(2) for _ in range(3)], [[newer], [newer], []])
 
 
+class Explaining(unittest.TestCase):
+    STATUS = MemberStatus("a", "alive", 3, "10.0.0.1:1", "z", "1", ("lead",), (), True, "b", "told", 1.5)
+    KEYS = {
+        "member": "a",
+        "state": "alive",
+        "life": 3,
+        "address": "10.0.0.1:1",
+        "zone": "z",
+        "version": "1",
+        "offers": ["lead"],
+        "accused_by": [],
+        "reached": True,
+        "by": "b",
+        "why": "told",
+        "since_s": 1.5,
+    }
+
+    def encoded(self, report: MonitoringReport) -> dict[str, object]:
+        return json.loads(json.dumps(encode_answer(explain_answer("own", self.STATUS, report))))
+
+    def test_member_that_is_watched_suspected_and_hears_nothing_is_explained_with_every_time(self) -> None:
+        members = Members(RULES)
+        members.detector.watch(1 * MS, ["a"])
+        members.detector.add_suspicion(2 * MS, "a", "c")
+        members.detector.add_suspicion(4 * MS, "a", "b")
+        members.detector.unheard_by["a"] = 5 * MS
+        report = members.explain("a", 9 * MS + 999)
+        suspicion = SuspicionReport(7 * MS + 999, {"b": 5 * MS + 999, "c": 7 * MS + 999})
+        self.assertEqual(report, MonitoringReport((), 8 * MS + 999, suspicion, 4 * MS + 999))
+
+    def test_member_of_which_nothing_is_known_is_explained_without_times(self) -> None:
+        self.assertEqual(Members(RULES).explain("a", 9 * MS), MonitoringReport((), None, None, None))
+
+    def test_explanation_encoded_has_the_keys_of_the_control_port_in_order(self) -> None:
+        report = MonitoringReport(("b", "c"), 8_999, SuspicionReport(7_999, {"b": 5_999}), 0)
+        expected = {
+            "own": "own",
+            "member": self.KEYS,
+            "watchers": ["b", "c"],
+            "silent_ms": 8,
+            "doubted_ms": 7,
+            "accused_ms": {"b": 5},
+            "deaf_ms": 0,
+        }
+        encoded = self.encoded(report)
+        self.assertEqual((encoded, list(encoded)), (expected, list(expected)))
+
+    def test_explanation_encoded_leaves_out_what_is_not_known_and_keeps_what_is_empty(self) -> None:
+        unknown = self.encoded(MonitoringReport((), None, None, None))
+        self.assertEqual(unknown, {"own": "own", "member": self.KEYS, "watchers": []})
+        withdrawn = self.encoded(MonitoringReport((), None, SuspicionReport(0, {}), None))
+        self.assertEqual((withdrawn["doubted_ms"], withdrawn["accused_ms"]), (0, {}))
+
+
 if __name__ == "__main__":
     unittest.main()
