--- a/lotuspick/cells/model.py
+++ b/lotuspick/cells/model.py
@@ -160,3 +160,11 @@
     viewers_kept: int = 65_536
     named: frozenset[str] = frozenset()
     """Tenants that the file names outright: these always have a budget of their own."""
+
+    def last_migration_of(self, tenant: str) -> TenantMigration:
+        """The migration of a tenant that was declared last.
+
+        Raises:
+            IndexError: it has none.
+        """
+        return [migration for migration in self.migrations if migration.tenant == tenant][-1]
--- a/lotuspick/program/commands/keys.py
+++ b/lotuspick/program/commands/keys.py
@@ -9,49 +9,52 @@
 
 import typer
 
+from lotuspick.entitlement.tokens import PublicKey
+from lotuspick.program.commands.failure import report_failure
 from lotuspick.transport.storage.key_folder import KeyFolder, KeyFolderError
 
 app = typer.Typer(
     help="Keys that sign and check tokens.", no_args_is_help=True, pretty_exceptions_enable=False
 )
-Folder = Annotated[Path, typer.Option("--keys", help="The folder of keys.")]
-DEFAULT = Path("keys")
-
-
-def _fail(error: KeyFolderError) -> typer.Exit:
-    typer.echo(f"lotuspick: {error}", err=True)
-    return typer.Exit(2)
+FolderOption = Annotated[Path, typer.Option("--keys", help="The folder of keys.")]
+OverlapOption = Annotated[int, typer.Option(help="Seconds for which those before it may sign.", min=0)]
+DEFAULT_FOLDER = Path("keys")
+DEFAULT_OVERLAP_S = 86_400
 
 
 @app.command()
-def make(
-    folder: Folder = DEFAULT,
-    overlap: Annotated[int, typer.Option(help="Seconds for which those before it may sign.", min=0)] = 86_400,
-) -> None:
+def make(folder: FolderOption = DEFAULT_FOLDER, overlap: OverlapOption = DEFAULT_OVERLAP_S) -> None:
     """Make a key that signs from now on: the first one, or a rotation."""
     try:
         typer.echo(KeyFolder(folder).make(int(time.time()), overlap).kid)
     except KeyFolderError as error:
-        raise _fail(error) from None
+        raise report_failure(error) from error
 
 
 @app.command("list")
-def list_all(folder: Folder = DEFAULT) -> None:
+def list_keys(folder: FolderOption = DEFAULT_FOLDER) -> None:
     """All keys, oldest first."""
     try:
         keys = KeyFolder(folder).load()
     except KeyFolderError as error:
-        raise _fail(error) from None
-    now = time.time()
+        raise report_failure(error) from error
+    now_s = time.time()
     for key in keys.values():
-        state = "withdrawn" if key.withdrawn else "signs" if key.until_s > now else "checks only"
-        typer.echo(f"{key.kid} from {datetime.fromtimestamp(key.from_s, UTC):%Y-%m-%dT%H:%M:%SZ} {state}")
+        made_at = datetime.fromtimestamp(key.from_s, UTC)
+        typer.echo(f"{key.kid} from {made_at:%Y-%m-%dT%H:%M:%SZ} {_state(key, now_s)}")
 
 
 @app.command()
-def withdraw(kid: str, folder: Folder = DEFAULT) -> None:
+def withdraw(kid: str, folder: FolderOption = DEFAULT_FOLDER) -> None:
     """Refuse all that a key has signed."""
     try:
         KeyFolder(folder).withdraw(kid)
     except KeyFolderError as error:
-        raise _fail(error) from None
+        raise report_failure(error) from error
+
+
+def _state(key: PublicKey, now_s: float) -> str:
+    """What a key may be used for, as ``list`` prints it."""
+    if key.withdrawn:
+        return "withdrawn"
+    return "signs" if key.until_s > now_s else "checks only"
--- a/lotuspick/program/commands/members.py
+++ b/lotuspick/program/commands/members.py
@@ -1,4 +1,8 @@
-"""``lotuspick members``: asks a running broker who is there, why it believes so, and to take one out."""
+"""``lotuspick members``: asks a running broker who is there, why it believes so, and to take one out.
+
+Answers are printed under the keys with which they come from the control port, so that a newer broker's
+figures are shown as well; :mod:`lotuspick.program.membership_answers` lists the keys.
+"""
 
 from __future__ import annotations
 
@@ -10,6 +14,7 @@
 from rich.table import Table
 
 from lotuspick.program import configuration
+from lotuspick.program.commands.failure import report_failure
 from lotuspick.program.configuration import ConfigError
 from lotuspick.transport.control_port import ControlPortError, send_request
 
@@ -33,69 +38,82 @@
     "by",
     "why",
 )
-
-
-def _ask(peers: Path | None, control: str, **what: str) -> dict[str, Any]:
-    try:
-        if control:
-            host, _, port = control.rpartition(":")
-            if not host or not port.isdigit():
-                raise ConfigError(f"--control must be HOST:PORT, not {control!r}")
-            return send_request((host, int(port)), dict(what))
-        told = configuration.read_peers(peers)
-        if told is None or told.control is None:
-            raise ConfigError(
-                f"{peers or configuration.DEFAULT_PEERS}: peers are off, or control names no address"
-            )
-        return send_request(told.control, dict(what))
-    except (ConfigError, ControlPortError) as fault:
-        typer.echo(f"lotuspick: {fault}", err=True)
-        raise typer.Exit(2) from None
-
-
-def _text(value: Any) -> str:
-    if isinstance(value, bool):
-        return "yes" if value else "no"
-    return " ".join(map(str, value)) if isinstance(value, list) else str(value)
+"""Keys of a member that ``show`` prints, in order."""
+MONITORING_TEXTS = (
+    ("silent_ms", "{} ms since this broker heard of it"),
+    ("doubted_ms", "accused for {} ms"),
+    ("deaf_ms", "{} ms ago it said to hear nothing of this broker"),
+)
+"""Keys of an explanation, each with the text that ``explain`` prints where the key is there."""
+TABLE_WIDTH = 160  # characters
+DRAIN_HELP = (
+    "Take a member out of the fleet: one that is there takes no paid session until it is started anew, "
+    "one that is\ndead no longer counts as missing."
+)
 
 
 @app.command()
 def show(peers: PeersOption = None, control: ControlOption = "") -> None:
     """Who is there as this broker sees it, how it stands to the others, and its counts."""
-    told = _ask(peers, control, ask="show")
+    answer = _request(peers, control, ask="show")
     table = Table(box=None, pad_edge=False)
     for column in COLUMNS:
         table.add_column(column.replace("_", " "), overflow="fold")
-    for member in told["members"]:
+    for member in answer["members"]:
         table.add_row(*(_text(member[column]) for column in COLUMNS))
-    Console(width=160).print(table)
-    typer.echo(f"{told['own']}: " + " ".join(f"{key}={value}" for key, value in told["counts"].items()))
-    if told["disk"]:
-        typer.echo(f"the disk does not take what is written: {told['disk']}")
+    Console(width=TABLE_WIDTH).print(table)
+    counts = " ".join(f"{key}={value}" for key, value in answer["counts"].items())
+    typer.echo(f"{answer['own']}: {counts}")
+    if answer["disk"]:
+        typer.echo(f"the disk does not take what is written: {answer['disk']}")
 
 
 @app.command()
 def explain(name: str, peers: PeersOption = None, control: ControlOption = "") -> None:
     """Why this broker believes what it does of a member."""
-    told = _ask(peers, control, ask="explain", name=name)
-    member = told["member"]
-    for key, value in member.items():
+    answer = _request(peers, control, ask="explain", name=name)
+    for key, value in answer["member"].items():
         typer.echo(f"{key}: {_text(value)}")
-    typer.echo(f"watchers: {_text(told['watchers'])}")
-    for key, text in (
-        ("silent_ms", "{} ms since this broker heard of it"),
-        ("doubted_ms", "accused for {} ms"),
-        ("deaf_ms", "{} ms ago it said to hear nothing of this broker"),
-    ):
-        if key in told:
-            typer.echo(text.format(told[key]))
-    for by, ago_ms in told.get("accused_ms", {}).items():
-        typer.echo(f"accused by {by}, {ago_ms} ms ago")
+    typer.echo(f"watchers: {_text(answer['watchers'])}")
+    for key, text in MONITORING_TEXTS:
+        if key in answer:
+            typer.echo(text.format(answer[key]))
+    for source, ms_ago in answer.get("accused_ms", {}).items():
+        typer.echo(f"accused by {source}, {ms_ago} ms ago")
 
 
-@app.command()
+@app.command(help=DRAIN_HELP)
 def drain(name: str, peers: PeersOption = None, control: ControlOption = "") -> None:
-    """Take a member out of the fleet: one that is there takes no paid session until it is started anew, one that is
-    dead no longer counts as missing."""
-    told = _ask(peers, control, ask="drain", name=name)
-    typer.echo(f"{told['member']['member']}: {told['member']['state']}, by {told['own']}")
+    """Take a member out of the fleet."""
+    answer = _request(peers, control, ask="drain", name=name)
+    typer.echo(f"{answer['member']['member']}: {answer['member']['state']}, by {answer['own']}")
+
+
+def _request(peers: Path | None, control: str, **request: str) -> dict[str, Any]:
+    """Have a running broker answer a request; ends the command where none does."""
+    try:
+        return send_request(_control_address(peers, control), dict(request))
+    except (ConfigError, ControlPortError) as error:
+        raise report_failure(error) from error
+
+
+def _control_address(peers: Path | None, control: str) -> tuple[str, int]:
+    """The control address that the option gives, or else the file of the other brokers."""
+    if control:
+        host, _, port = control.rpartition(":")
+        if not host or not port.isdigit():
+            raise ConfigError(f"--control must be HOST:PORT, not {control!r}")
+        return host, int(port)
+    config = configuration.read_peers(peers)
+    if config is None or config.control is None:
+        raise ConfigError(
+            f"{peers or configuration.DEFAULT_PEERS}: peers are off, or control names no address"
+        )
+    return config.control
+
+
+def _text(value: Any) -> str:
+    """A value of an answer as it is printed."""
+    if isinstance(value, bool):
+        return "yes" if value else "no"
+    return " ".join(map(str, value)) if isinstance(value, list) else str(value)
--- /dev/null
+++ b/lotuspick/program/migration_editor.py
@@ -0,0 +1,132 @@
+"""Edits the tenant migrations in a file of cells, for ``lotuspick cells move``.
+
+The file's own comments and order stay. Only what still is a good plan is written, in one step, and each
+change raises the plan's epoch, so that brokers take it over.
+"""
+
+from __future__ import annotations
+
+import tomllib
+from dataclasses import dataclass
+from datetime import UTC, datetime
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+import tomlkit
+
+from lotuspick.cells.migration import MigrationStage, stage_at
+from lotuspick.cells.model import SECOND, Plan
+from lotuspick.cells.plan_file import parse
+
+ENDING_STAGES = frozenset(
+    {MigrationStage.DONE, MigrationStage.UNDONE, MigrationStage.RETURNING, MigrationStage.EMPTYING}
+)
+"""Stages in which a migration cannot be changed any more: it is over, or it is rolled back already."""
+
+
+class MigrationChange(Enum):
+    """What can be done to a migration that was declared."""
+
+    PAUSE = "pause"
+    RESUME = "resume"
+    ROLL_BACK = "back"
+
+
+class MigrationChangeError(Exception):
+    """A migration cannot be changed so, or there is none; the text says why."""
+
+
+@dataclass(frozen=True, slots=True)
+class MigrationTimes:
+    """When a migration starts, and how long its stages take."""
+
+    start: datetime
+    prepare_s: float
+    shift_s: float
+    drain_s: float
+
+
+class MigrationEditor:
+    """One file of cells while it is edited; nothing is written before :meth:`save`.
+
+    Args:
+        path: of the file.
+        plan: as the file has it.
+    """
+
+    def __init__(self, path: Path, plan: Plan) -> None:
+        self.path, self.plan = path, plan
+        self._document = tomlkit.parse(path.read_text(encoding="utf-8"))
+        self._entries: Any = self._document.setdefault("moves", tomlkit.aot())
+
+    def declare(self, tenant: str, target_cell: str, times: MigrationTimes) -> None:
+        """Declare the next migration of a tenant."""
+        epochs = [entry["epoch"] for entry in self._entries_of(tenant)]
+        entry = tomlkit.table()
+        entry.update(
+            {
+                "tenant": tenant,
+                "to": target_cell,
+                "epoch": max(epochs, default=0) + 1,
+                "start": times.start,
+                "prepare_s": times.prepare_s,
+                "shift_s": times.shift_s,
+                "drain_s": times.drain_s,
+            }
+        )
+        self._entries.append(entry)
+
+    def change_last(self, tenant: str, change: MigrationChange, now: datetime) -> None:
+        """Pause, resume or roll back the last migration of a tenant.
+
+        Raises:
+            MigrationChangeError: the tenant has none, or its stage does not allow the change.
+        """
+        entries = self._entries_of(tenant)
+        if not entries:
+            raise MigrationChangeError(f"{tenant} has no move")
+        entry = entries[-1]
+        pauses = entry.get("pauses", [])
+        self._check_change(tenant, change, is_paused=bool(pauses) and len(pauses[-1]) == 1, now=now)
+        match change:
+            case MigrationChange.PAUSE:
+                entry["pauses"] = [*pauses, [max(now, _to_datetime(entry["start"]))]]
+            case MigrationChange.RESUME:
+                begin = pauses[-1][0]
+                entry["pauses"] = [*pauses[:-1], [begin, max(now, _to_datetime(begin))]]
+            case MigrationChange.ROLL_BACK:
+                entry["back"] = max(now, _to_datetime(entry["start"]))
+
+    def save(self) -> Plan:
+        """Write the file with the next epoch; returns the plan that it now has.
+
+        Raises:
+            PlanError: the plan would not be a good one; nothing is written.
+        """
+        self._document["epoch"] = self.plan.epoch + 1
+        text = tomlkit.dumps(self._document)
+        plan = parse(tomllib.loads(text))
+        new_file = self.path.with_suffix(".new")
+        new_file.write_text(text, encoding="utf-8")
+        new_file.replace(self.path)
+        return plan
+
+    def _entries_of(self, tenant: str) -> list[Any]:
+        return [entry for entry in self._entries if entry.get("tenant") == tenant]
+
+    def _check_change(self, tenant: str, change: MigrationChange, is_paused: bool, now: datetime) -> None:
+        migration = self.plan.last_migration_of(tenant)
+        stage = stage_at(migration, int(now.timestamp() * SECOND))
+        name = f"move {migration.epoch} of {tenant}"
+        if stage in ENDING_STAGES:
+            raise MigrationChangeError(f"{name} is {stage.value}")
+        if change is MigrationChange.PAUSE and is_paused:
+            raise MigrationChangeError(f"{name} is paused already")
+        if change is MigrationChange.RESUME and not is_paused:
+            raise MigrationChangeError(f"{name} is not paused")
+
+
+def _to_datetime(value: Any) -> datetime:
+    """A time of the file, which has times with their offset from UTC or Unix seconds."""
+    return value if isinstance(value, datetime) else datetime.fromtimestamp(float(value), UTC)
