--- /dev/null
+++ b/lotuspick/program/settled_ledgers.py
@@ -0,0 +1,62 @@
+"""Settled ledgers as a file: JSON lines, one for each broker and seat.
+
+A record that was written before is read again and merged with newer ones, so that its keys may not change.
+"""
+
+from __future__ import annotations
+
+import json
+from dataclasses import asdict
+from pathlib import Path
+from typing import Any
+
+from lotuspick.entitlement.ledger import Record, State
+from lotuspick.entitlement.ledger_merge import Ledgers
+from lotuspick.program.entitlement import EntitlementError
+
+RENAMED_KEYS = {"indeterminate": "doubted"}
+"""Keys of fields of :class:`~lotuspick.entitlement.ledger.Record` that are not the field's name."""
+
+
+def record_values(record: Record) -> dict[str, Any]:
+    """The fields of a record under the keys of settled ledgers, which ``lotuspick seats show`` prints too."""
+    return {RENAMED_KEYS.get(name, name): value for name, value in asdict(record).items()}
+
+
+def write_settled(path: Path, ledgers: Ledgers) -> None:
+    """Write ledgers in order, in place of the file before: the same ledgers give the same bytes.
+
+    Raises:
+        OSError: the file cannot be written.
+    """
+    new_file = path.with_suffix(".new")
+    with new_file.open("w", encoding="utf-8") as sink:
+        for (broker, _), record in sorted(ledgers.items(), key=lambda item: item[0]):
+            values = {"broker": broker, **record_values(record), "state": record.state.name}
+            sink.write(json.dumps(values) + "\n")
+    new_file.replace(path)
+
+
+def read_settled(path: Path) -> dict[tuple[str, str], Record]:
+    """Read what :func:`write_settled` wrote: records by broker and seat.
+
+    Raises:
+        EntitlementError: a line is not a settled seat.
+        OSError: the file cannot be read.
+    """
+    ledgers: dict[tuple[str, str], Record] = {}
+    with path.open(encoding="utf-8") as source:
+        for number, line in enumerate(source, 1):
+            try:
+                broker, record = _parse_settled(line)
+            except (ValueError, KeyError, TypeError, AttributeError) as error:
+                raise EntitlementError(f"{path}: line {number}: not a settled seat") from error
+            ledgers[broker, record.seat] = record
+    return ledgers
+
+
+def _parse_settled(line: str) -> tuple[str, Record]:
+    values = json.loads(line)
+    broker, state = values.pop("broker"), State[values.pop("state")]
+    indeterminate = tuple(values.pop(RENAMED_KEYS["indeterminate"]))
+    return broker, Record(state=state, indeterminate=indeterminate, **values)
