--- a/lotuspick/entitlement/constraints.py
+++ b/lotuspick/entitlement/constraints.py
@@ -28,7 +28,13 @@
 from lotuspick.entitlement.ledger import Ledger, Record, State, Verdict
 from lotuspick.entitlement.model import Seat, TokenError, TokenRejection
 from lotuspick.entitlement.request_check import check_request_token
-from lotuspick.entitlement.seat_session import Journal, Rules, SeatChange, SeatSession, SeatTermination
+from lotuspick.entitlement.seat_session import (
+    EntitlementRules,
+    Journal,
+    SeatChange,
+    SeatSession,
+    SeatTermination,
+)
 from lotuspick.entitlement.tokens import TokenVerifier
 
 SECOND_US = 1_000_000
@@ -60,7 +66,7 @@
 
     def __init__(
         self,
-        rules: Rules,
+        rules: EntitlementRules,
         verifier: TokenVerifier,
         ledger: Ledger,
         journal: Journal,
--- a/lotuspick/entitlement/seat_session.py
+++ b/lotuspick/entitlement/seat_session.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class EntitlementRules:
     """Settings of an installation's entitlements."""
 
     classes: frozenset[str]
--- a/lotuspick/lab/net/fleet.py
+++ b/lotuspick/lab/net/fleet.py
@@ -12,7 +12,7 @@
 from lotuspick.lab.net.story import Fault, draw, rest, write
 from lotuspick.lab.net.world import MS, Host, Weather, World
 from lotuspick.membership.members import Members
-from lotuspick.membership.model import Begin, Changed, Displaced, Rules, State
+from lotuspick.membership.model import Begin, Changed, Displaced, FailureDetectionRules, State
 from lotuspick.state_machine import CommandReceived, SendMessage
 
 SECOND = 1_000_000
@@ -36,7 +36,7 @@
         for at, name in enumerate(self.names):
             self.add(
                 name,
-                lambda: Members(Rules(**rules)),
+                lambda: Members(FailureDetectionRules(**rules)),
                 [CommandReceived(Begin(f"b{at}", name, tuple(self.names[:3])))],
                 self.random.choice(rates),
             )
--- a/lotuspick/membership/failure_detector.py
+++ b/lotuspick/membership/failure_detector.py
@@ -10,7 +10,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from lotuspick.membership.model import Rules
+from lotuspick.membership.model import FailureDetectionRules
 
 SUSPICION_LIFETIME = 2  # silence limits after which a suspicion that is not renewed is dropped
 
@@ -28,7 +28,7 @@
 class FailureDetector:
     """Signs of life and suspicions as one broker knows them. Its methods change them, and decide no death."""
 
-    def __init__(self, rules: Rules) -> None:
+    def __init__(self, rules: FailureDetectionRules) -> None:
         self.rules = rules
         self.last_heard_us: dict[str, int] = {}  # of each member that this broker watches
         self.suspected: dict[str, SuspectedMember] = {}
--- a/lotuspick/membership/members.py
+++ b/lotuspick/membership/members.py
@@ -20,6 +20,7 @@
     Begin,
     Digest,
     Drain,
+    FailureDetectionRules,
     Leave,
     MembershipError,
     MonitoringReport,
@@ -27,7 +28,6 @@
     Ping,
     Record,
     Relay,
-    Rules,
     Stalled,
     State,
     Suspicion,
@@ -55,7 +55,7 @@
 class Members(MembershipView):
     """One broker among the others of its fleet, as a state machine."""
 
-    def __init__(self, rules: Rules | None = None) -> None:
+    def __init__(self, rules: FailureDetectionRules | None = None) -> None:
         super().__init__(rules)
         self.rejected: dict[str, int] = {}  # messages that could not be used, by peer
         self._rings = MonitoringRings(self.rules.watchers)
--- a/lotuspick/membership/model.py
+++ b/lotuspick/membership/model.py
@@ -200,7 +200,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class FailureDetectionRules:
     """How members watch each other; all times in us."""
 
     period_us: int = 300_000
--- a/lotuspick/membership/view.py
+++ b/lotuspick/membership/view.py
@@ -17,9 +17,9 @@
     Begin,
     Changed,
     Displaced,
+    FailureDetectionRules,
     Message,
     Record,
-    Rules,
     State,
     Sync,
     validated,
@@ -35,8 +35,8 @@
 class MembershipView:
     """What one broker believes of all. Peers are named by the addresses of their links."""
 
-    def __init__(self, rules: Rules | None = None) -> None:
-        self.rules = rules or Rules()
+    def __init__(self, rules: FailureDetectionRules | None = None) -> None:
+        self.rules = rules or FailureDetectionRules()
         self.own: Record | None = None
         self.seeds: tuple[str, ...] = ()
         self.table = MembershipTable(self.rules.max_tombstones, self.rules.forget_us)
--- a/lotuspick/program/configuration/entitlement.py
+++ b/lotuspick/program/configuration/entitlement.py
@@ -32,7 +32,7 @@
 
 
 def _seats(table: dict[str, Any], folder: Path, settings: Settings) -> SeatsConfig:
-    from lotuspick.entitlement.seat_session import Rules
+    from lotuspick.entitlement.seat_session import EntitlementRules
 
     classes = _classes(table, settings)
     numbers = {
@@ -52,7 +52,7 @@
         keys=paths["keys"],
         store=paths["store"],
         store_mib=numbers["store_mib"],
-        rules=Rules(classes, required, gap_s, numbers["keep_days"] * SECONDS_PER_DAY),
+        rules=EntitlementRules(classes, required, gap_s, numbers["keep_days"] * SECONDS_PER_DAY),
         skew_s=numbers["skew_s"],
         grace_s=numbers["grace_s"],
         revoked=paths.get("revoked"),
--- a/lotuspick/program/configuration/membership.py
+++ b/lotuspick/program/configuration/membership.py
@@ -46,8 +46,7 @@
 
 
 def _peers(table: dict[str, Any], folder: Path) -> PeersConfig:
-    from lotuspick.membership.model import MembershipError
-    from lotuspick.membership.model import Rules as FailureDetectionRules
+    from lotuspick.membership.model import FailureDetectionRules, MembershipError
     from lotuspick.membership.quorum import QuorumRules
 
     listen = read_address(table, "listen")
--- a/lotuspick/program/configuration/model.py
+++ b/lotuspick/program/configuration/model.py
@@ -13,8 +13,8 @@
 
 if TYPE_CHECKING:
     from lotuspick.cells.model import Plan
-    from lotuspick.entitlement.seat_session import Rules as EntitlementRules
-    from lotuspick.membership.model import Rules as FailureDetectionRules
+    from lotuspick.entitlement.seat_session import EntitlementRules
+    from lotuspick.membership.model import FailureDetectionRules
     from lotuspick.membership.quorum import QuorumRules
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -19,11 +19,11 @@
     Begin,
     Changed,
     Displaced,
+    FailureDetectionRules,
     Leave,
     MembershipError,
     Ping,
     Record,
-    Rules,
     Stalled,
     State,
     Suspicion,
@@ -453,7 +453,7 @@
             ({"quorum": 5}, "quorum"),
         ):
             with self.assertRaisesRegex(MembershipError, wanted):
-                Rules(**changes)
+                FailureDetectionRules(**changes)
 
 
 RECORDS = st.builds(
--- a/tests/test_membership_parts.py
+++ b/tests/test_membership_parts.py
@@ -8,13 +8,20 @@
 from lotuspick.membership.failure_detector import FailureDetector
 from lotuspick.membership.gossip import GossipQueue
 from lotuspick.membership.members import Members
-from lotuspick.membership.model import MonitoringReport, Record, Rules, State, Suspicion, SuspicionReport
+from lotuspick.membership.model import (
+    FailureDetectionRules,
+    MonitoringReport,
+    Record,
+    State,
+    Suspicion,
+    SuspicionReport,
+)
 from lotuspick.membership.rings import MonitoringRings
 from lotuspick.membership.table import MembershipTable
 from lotuspick.program.membership_answers import MemberStatus, encode_answer, explain_answer
 
 MS = 1_000
-RULES = Rules(period_us=300 * MS, silent_us=700 * MS, doubt_us=1_300 * MS, quorum=2)
+RULES = FailureDetectionRules(period_us=300 * MS, silent_us=700 * MS, doubt_us=1_300 * MS, quorum=2)
 
 
 def record(name: str, state: State = State.ALIVE, incarnation: int = 1) -> Record:
--- a/tests/test_seats_guide.py
+++ b/tests/test_seats_guide.py
@@ -25,7 +25,7 @@
 from lotuspick.entitlement.constraints import SeatConstraints
 from lotuspick.entitlement.ledger import Ledger, Record, State
 from lotuspick.entitlement.model import Seat
-from lotuspick.entitlement.seat_session import Rules
+from lotuspick.entitlement.seat_session import EntitlementRules
 from lotuspick.entitlement.tokens import sign
 
 START = 20 * SECOND
@@ -61,7 +61,7 @@
         self.begin(Ledger(30, 60))
 
     def begin(self, ledger: Ledger) -> None:
-        rules = Rules(frozenset({"exam"}))
+        rules = EntitlementRules(frozenset({"exam"}))
         self.guide = SeatConstraints(rules, checker(), ledger, self.disk, lambda: self.wall)
         classes = [
             ClassSettings("clip", SECOND),
--- a/tests/test_seats_live.py
+++ b/tests/test_seats_live.py
@@ -20,7 +20,7 @@
 from lotuspick.core.events import ServerListUpdate
 from lotuspick.entitlement.ledger import Record, State
 from lotuspick.entitlement.model import Seat
-from lotuspick.entitlement.seat_session import Rules
+from lotuspick.entitlement.seat_session import EntitlementRules
 from lotuspick.entitlement.tokens import sign
 from lotuspick.lab.seats.trial import seats as seats_trial
 from lotuspick.plugin import Answer, Plugin, Refused, Released, TerminationReason
@@ -333,7 +333,13 @@
             keys, now = KeyFolder(Path(name, "keys")), [1_800_000_000 * SECOND]
             kid = keys.make(now[0] // SECOND, 600).kid
             told = SeatsConfig(
-                "site", Path(name, "keys"), Path(name, "store"), 16, Rules(frozenset({"exam"})), 0, 0
+                "site",
+                Path(name, "keys"),
+                Path(name, "store"),
+                16,
+                EntitlementRules(frozenset({"exam"})),
+                0,
+                0,
             )
             seats = Entitlement(
                 told,
