--- a/lotuspick/cells/constraints.py
+++ b/lotuspick/cells/constraints.py
@@ -15,9 +15,10 @@
 from lotuspick.cells.cell_status import CHECK_INTERVAL_US, CellStatus
 from lotuspick.cells.directory import CellDirectory, hash_fraction
 from lotuspick.cells.migration_tracker import MigrationTracker
-from lotuspick.cells.model import Cell, Plan, PlanError
+from lotuspick.cells.model import Cell, Plan, PlanError, UndersizedPolicy
 from lotuspick.cells.returning_viewers import ReturningViewers
 from lotuspick.cells.session_counts import CellSession, SessionCounts
+from lotuspick.cells.undersized_tracker import UndersizedTracker
 from lotuspick.core.actions import FailSession, ForwardAttempt, Observation, RejectSession
 from lotuspick.core.constraints import PlacementConstraint
 from lotuspick.core.events import (
@@ -58,10 +59,10 @@
         self.sessions = self.counts.sessions
         self.events = RateLimitedEvents()
         self.migrations = MigrationTracker(self.events, self.counts.playing_of)
+        self.undersized = UndersizedTracker(self.events)
         self._migrations_checked_at_us = -CHECK_INTERVAL_US
         self._rejected: dict[str, int] = {}  # by reason, since the last summary
         self._admitted = self._sent_elsewhere = 0  # since the last summary
-        self._undersized: dict[str, int] = {}
         self._handlers: dict[type, Callable[[Any, int], None]] = {
             ServerListUpdate: self._on_server_list,
             SessionPlaying: self._on_playing,
@@ -168,7 +169,7 @@
     def _share(self, session: CellSession, now: int) -> float:
         """The tenant's share of the cell: by its weight, or by its usual first attempts."""
         request, name = session.request, session.cell
-        weight = self.directory.base_cell(request.tenant, request.title)[1]
+        weight = self.directory.base_cell(request.tenant, request.title).weight
         if weight:
             return weight / max(weight, self.directory.tenant_weights.get(name, 0.0))
         total = self.statuses[name].budget.usual
@@ -216,11 +217,11 @@
         )
         if not available.insufficient:
             return PlacementConstraint(servers=available.own)
-        further = {"widen": available.elsewhere, "spill": available.spilled}.get(cell.small)
+        further = available.further(cell.undersized_policy)
         if further and self._may_send_elsewhere(status, cell, now):
             costs = dict.fromkeys(further, ELSEWHERE_COST)
             return PlacementConstraint(servers=available.own | further, costs=costs)
-        if available.own and cell.small != "refuse":
+        if available.own and cell.undersized_policy is not UndersizedPolicy.REFUSE:
             return PlacementConstraint(servers=available.own)
         return self._reject(session, status.budget, "too-small", 1.0, now)
 
@@ -238,25 +239,9 @@
 
     def _on_server_list(self, update: ServerListUpdate, now: int) -> None:
         if self.directory.update_servers(update):
-            self._record_undersized(now)
+            self.undersized.update(now, self.directory)
             self.counts.recount(now)
 
-    def _record_undersized(self, now: int) -> None:
-        """Record which cells have become too small for any lesson, and which no longer are."""
-        undersized = self.directory.undersized_cells()
-        for name, cell in self.plan.cells.items():
-            if undersized.get(name) == self._undersized.get(name):
-                continue
-            if name not in undersized:
-                event = "cell_size_restored"
-            else:
-                event = "cell_undersized" if undersized[name] else "cell_empty"
-            servers = len(self.directory.servers_by_cell[name])
-            self.events.record(
-                now, event, name, cell=name, servers=servers, holders=cell.holders, policy=cell.small
-            )
-        self._undersized = undersized
-
     def _on_playing(self, request: SessionPlaying, now: int) -> None:
         if request.session in self.sessions:
             return
@@ -362,7 +347,7 @@
             cells=len(plan.cells),
             migrations=len(plan.migrations),
         )
-        self._record_undersized(now)
+        self.undersized.update(now, self.directory)
         self._check_migrations(now)
         self.counts.recount(now)
 
@@ -387,7 +372,7 @@
             "sessions": len(self.sessions),
             "tenants": len(self.tenants),
             "contended": ",".join(contended) or "none",
-            "undersized": ",".join(self._undersized) or "none",
+            "undersized": ",".join(self.undersized.server_counts) or "none",
         }
         fields |= {
             f"rejected_{reason.replace('-', '_')}": count for reason, count in sorted(self._rejected.items())
--- a/lotuspick/cells/directory.py
+++ b/lotuspick/cells/directory.py
@@ -11,11 +11,12 @@
 import math
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from xxhash import xxh3_64_intdigest
 
 from lotuspick.cells.migration import COUNTED_IN_BOTH_CELLS, is_migrated, share_at, stage_at
-from lotuspick.cells.model import HASH, Cell, Plan
+from lotuspick.cells.model import HASH, Cell, Plan, UndersizedPolicy
 from lotuspick.core.events import ServerEntry, ServerListUpdate
 
 CACHE_LIMIT = 8_192  # answers kept of each kind until the server list or the plan changes
@@ -57,6 +58,24 @@
     spilled: frozenset[str] = NO_SERVERS
     """Of those elsewhere, the ones that the cell's spill list brings, in its order, as far as needed."""
 
+    def further(self, policy: UndersizedPolicy) -> frozenset[str]:
+        """The servers of other cells that a policy lets a session use."""
+        match policy:
+            case UndersizedPolicy.SPILL:
+                return self.spilled
+            case UndersizedPolicy.WIDEN:
+                return self.elsewhere
+            case UndersizedPolicy.REFUSE:
+                return NO_SERVERS
+
+
+class BaseCell(NamedTuple):
+    """The cell of a tenant's lesson before any migration."""
+
+    name: str
+    weight: float
+    """The tenant's share of the cell while it is contended; 0: the file gives none."""
+
 
 class CellDirectory:
     """The assignments of one plan. Owns the server list, which changes by :meth:`update_servers` alone.
@@ -78,11 +97,11 @@
         self._weights_without_selector = {
             cell.name: cell.weight for cell in plan.cells.values() if cell.selector.empty
         }
-        self._base_cells: dict[tuple[str, str], tuple[str, float]] = {}
+        self._base_cells: dict[tuple[str, str], BaseCell] = {}
         self.tenant_weights: dict[str, float] = {}
         """Of each cell: the sum of the weights of the tenants that the file places there and weighs."""
         for rule in plan.rules:
-            cell = rule.cell or (self.base_cell(rule.tenant, "")[0] if rule.tenant in plan.named else "")
+            cell = rule.cell or (self.base_cell(rule.tenant, "").name if rule.tenant in plan.named else "")
             if rule.weight and cell:
                 self.tenant_weights[cell] = self.tenant_weights.get(cell, 0.0) + rule.weight
         self._assign_servers()
@@ -145,8 +164,8 @@
 
     # ---- tenants ------------------------------------------------------------------------------------------
 
-    def base_cell(self, tenant: str, title: str) -> tuple[str, float]:
-        """The cell of a tenant's lesson before any migration, and the tenant's weight there (0: none)."""
+    def base_cell(self, tenant: str, title: str) -> BaseCell:
+        """The cell of a tenant's lesson before any migration."""
         key = (tenant, title)
         found = self._base_cells.get(key)
         if found is None:
@@ -157,7 +176,7 @@
 
     def cell_for(self, tenant: str, title: str, viewer: str, returned: bool, now: int) -> str:
         """The cell of a request at a time (us): the base, then each migration of the tenant by epoch."""
-        cell = self.base_cell(tenant, title)[0]
+        cell = self.base_cell(tenant, title).name
         for migration in self.migrations_by_tenant.get(tenant, ()):
             fraction = hash_fraction(self.plan.salt, "viewer", viewer, str(migration.epoch))
             if is_migrated(migration, fraction, returned, now):
@@ -169,7 +188,7 @@
         migrations = self.migrations_by_tenant.get(tenant, ())
         if not any(stage_at(migration, now) in COUNTED_IN_BOTH_CELLS for migration in migrations):
             return ()
-        cells = [self.base_cell(tenant, title)[0]]
+        cells = [self.base_cell(tenant, title).name]
         for migration in migrations:
             if stage_at(migration, now) in COUNTED_IN_BOTH_CELLS:
                 cells.append(migration.target_cell)
@@ -177,19 +196,19 @@
                 cells = [migration.target_cell]
         return tuple(dict.fromkeys(cells))
 
-    def _find_base_cell(self, tenant: str, title: str) -> tuple[str, float]:
+    def _find_base_cell(self, tenant: str, title: str) -> BaseCell:
         plan, weight = self.plan, 0.0
         for rule in plan.rules:
             if fnmatch.fnmatchcase(tenant, rule.tenant) and fnmatch.fnmatchcase(title, rule.title):
                 weight = weight or rule.weight
                 if rule.cell:
-                    return rule.cell, weight
+                    return BaseCell(rule.cell, weight)
         if not tenant and plan.nameless:
-            return plan.nameless, weight
+            return BaseCell(plan.nameless, weight)
         if plan.default != HASH:
-            return plan.default, weight
+            return BaseCell(plan.default, weight)
         key = ("tenant", tenant) if tenant else ("title", title)
-        return rendezvous(self._weights, plan.salt, *key), weight
+        return BaseCell(rendezvous(self._weights, plan.salt, *key), weight)
 
     # ---- holders ------------------------------------------------------------------------------------------
 
--- a/lotuspick/cells/exposure.py
+++ b/lotuspick/cells/exposure.py
@@ -7,8 +7,10 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from lotuspick.cells.directory import CellDirectory
+from lotuspick.cells.model import UndersizedPolicy
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,14 +35,23 @@
     """Mean fraction of a tenant's nodes that another tenant, drawn at random, can reach as well."""
 
 
-def reach(directory: CellDirectory, tenant: str) -> tuple[frozenset[str], frozenset[str]]:
-    """The nodes that a tenant can reach, and those with spilling and widening.
+class Reach(NamedTuple):
+    """The nodes that one tenant can reach."""
+
+    own: frozenset[str]
+    """While its cells are large enough."""
+    with_spill: frozenset[str]
+    """The same and those by spilling and widening, where a cell may do so."""
+
+
+def reach(directory: CellDirectory, tenant: str) -> Reach:
+    """The nodes that a tenant can reach.
 
     Migrations that are declared count with both of their cells.
     """
     plan = directory.plan
     cells = {
-        directory.base_cell(tenant, "")[0],
+        directory.base_cell(tenant, "").name,
         *(migration.target_cell for migration in directory.migrations_by_tenant.get(tenant, ())),
     }
     cells |= {
@@ -53,11 +64,11 @@
     for name in cells:
         cell = plan.cells[name]
         own |= directory.shard(cell, tenant)
-        if cell.small == "widen":
+        if cell.undersized_policy is UndersizedPolicy.WIDEN:
             further |= _active(directory)
         for target in cell.spill:
             further |= directory.servers_by_cell[target]
-    return own, own | further
+    return Reach(own, own | further)
 
 
 def exposure(directory: CellDirectory, tenants: Iterable[str]) -> Exposure:
@@ -69,15 +80,15 @@
     reached = {tenant: reach(directory, tenant) for tenant in tenants}
     if not reached:
         raise ValueError("no tenant is named")
-    times = Counter(own for own, _ in reached.values())
-    widest = max(reached, key=lambda tenant: (len(reached[tenant][0]), tenant))
+    times = Counter(nodes.own for nodes in reached.values())
+    widest = max(reached, key=lambda tenant: (len(reached[tenant].own), tenant))
     return Exposure(
         nodes=len(_active(directory)),
         tenants=len(reached),
-        maximum=len(reached[widest][0]),
+        maximum=len(reached[widest].own),
         widest=widest,
-        mean=statistics.fmean(len(own) for own, _ in reached.values()),
-        mean_with_spill=statistics.fmean(len(everything) for _, everything in reached.values()),
+        mean=statistics.fmean(len(nodes.own) for nodes in reached.values()),
+        mean_with_spill=statistics.fmean(len(nodes.with_spill) for nodes in reached.values()),
         together=max(times.values()),
         alone=sum(count == 1 for count in times.values()),
         overlap=_mean_overlap(times, len(reached)),
--- a/lotuspick/cells/migration_tracker.py
+++ b/lotuspick/cells/migration_tracker.py
@@ -43,7 +43,7 @@
             tenant=migration.tenant,
             epoch=migration.epoch,
             stage=current.value,
-            source_cell=directory.base_cell(migration.tenant, "")[0],
+            source_cell=directory.base_cell(migration.tenant, "").name,
             target_cell=migration.target_cell,
             share=round(share_at(migration, now), 3),
             servers=len(directory.servers_by_cell[migration.target_cell]),
--- a/lotuspick/cells/model.py
+++ b/lotuspick/cells/model.py
@@ -5,6 +5,7 @@
 import fnmatch
 from collections.abc import Mapping
 from dataclasses import dataclass
+from enum import StrEnum
 
 from netaddr import AddrFormatError, IPAddress, IPSet
 
@@ -90,6 +91,16 @@
             return False
 
 
+class UndersizedPolicy(StrEnum):
+    """What happens to a lesson that finds its cell too small. The values are the words of the file."""
+
+    SPILL = "spill"
+    """Use the cells that the spill list names, in order, as far as needed."""
+    WIDEN = "widen"
+    """Use all holders of the lesson."""
+    REFUSE = "refuse"
+
+
 @dataclass(frozen=True, slots=True)
 class Cell:
     """One cell."""
@@ -102,8 +113,8 @@
     """Each tenant uses so many of its nodes, drawn by hash; 0: all of them."""
     holders: int = 3
     """A lesson with fewer usable holders here (or fewer than it has anywhere) finds the cell too small."""
-    small: str = "widen"
-    """What then: ``spill`` to other cells in order, ``widen`` to all holders, or ``refuse``."""
+    undersized_policy: UndersizedPolicy = UndersizedPolicy.WIDEN
+    """What then."""
     spill: tuple[str, ...] = ()
     elsewhere: float = 0.3
     """Set-ups that may go to nodes of other cells, as a fraction of the cell's first attempts in 30 s."""
--- a/lotuspick/cells/plan_file.py
+++ b/lotuspick/cells/plan_file.py
@@ -22,6 +22,7 @@
     Rule,
     Selector,
     TenantMigration,
+    UndersizedPolicy,
 )
 from lotuspick.cells.toml_values import (
     check_keys,
@@ -40,7 +41,6 @@
 CELL_NAME = re.compile(r"[A-Za-z0-9_.-]{1,64}")
 POSITION_SPAN = re.compile(r"(\d{1,6})-(\d{1,6})(?:/(\d{1,6}))?")  # low-high, or low-high/step
 WILDCARDS = "*?["
-POLICIES = ("spill", "widen", "refuse")
 
 PLAN_KEYS = frozenset(
     {
@@ -158,7 +158,7 @@
     if not isinstance(table, dict):
         raise PlanError(f"{path} must be a table, not {table!r:.40}")
     check_keys(table, CELL_KEYS, path)
-    policy, spill = _policy(table, path)
+    policy, spill = _undersized_policy(table, path)
     return Cell(
         name,
         _selector(table, path),
@@ -172,13 +172,16 @@
     )
 
 
-def _policy(table: Mapping[str, Any], path: str) -> tuple[str, tuple[str, ...]]:
+def _undersized_policy(table: Mapping[str, Any], path: str) -> tuple[UndersizedPolicy, tuple[str, ...]]:
     """What a cell does that is too small for a lesson, and the cells that it spills to."""
-    policy = read_text(table, "small", f"{path}.small", "spill" if table.get("spill") else "widen")
-    if policy not in POLICIES:
-        raise PlanError(f"{path}.small must be spill, widen or refuse, not {policy!r}")
+    default = UndersizedPolicy.SPILL if table.get("spill") else UndersizedPolicy.WIDEN
+    word = read_text(table, "small", f"{path}.small", default.value)
+    try:
+        policy = UndersizedPolicy(word)
+    except ValueError as error:
+        raise PlanError(f"{path}.small must be spill, widen or refuse, not {word!r}") from error
     spill = read_texts(table, "spill", path)
-    if policy == "spill" and not spill:
+    if policy is UndersizedPolicy.SPILL and not spill:
         raise PlanError(f"{path}.spill names no cell, though {path}.small is 'spill'")
     return policy, spill
 
--- a/lotuspick/program/commands/cells.py
+++ b/lotuspick/program/commands/cells.py
@@ -19,7 +19,7 @@
 from lotuspick.cells.directory import CellDirectory
 from lotuspick.cells.exposure import exposure, reach
 from lotuspick.cells.migration import share_at, stage_at
-from lotuspick.cells.model import SECOND, Cell, Plan, PlanError
+from lotuspick.cells.model import SECOND, Cell, Plan, PlanError, UndersizedPolicy
 from lotuspick.cells.plan_file import parse
 from lotuspick.core.events import ServerListUpdate
 from lotuspick.program import configuration
@@ -106,9 +106,9 @@
     cell = _print_cell(directory, tenant, lesson, viewer, now)
     if not directory.entries:
         return
-    own, reachable = reach(directory, tenant)
+    nodes_in_reach = reach(directory, tenant)
     typer.echo(
-        f"nodes of the tenant: {_join(own)}; at most {len(reachable)} of "
+        f"nodes of the tenant: {_join(nodes_in_reach.own)}; at most {len(nodes_in_reach.with_spill)} of "
         f"{len(directory.entries)} with spilling and widening"
     )
     if copies:
@@ -227,7 +227,7 @@
         cell = directory.plan.cells[name]
         typer.echo(
             f"{'EMPTY' if not count else 'too small'}: {name} has {count} nodes, lessons want "
-            f"{cell.holders}; policy {cell.small}"
+            f"{cell.holders}; policy {cell.undersized_policy}"
         )
 
 
@@ -249,12 +249,12 @@
     plan = directory.plan
     table = Table("cell", "nodes", "weight", "policy", "named tenants", title=f"epoch {plan.epoch}")
     for name, cell in plan.cells.items():
-        tenants = [tenant for tenant in sorted(plan.named) if directory.base_cell(tenant, "")[0] == name]
+        tenants = [tenant for tenant in sorted(plan.named) if directory.base_cell(tenant, "").name == name]
         table.add_row(
             name,
             str(len(directory.servers_by_cell[name])) if directory.entries else "?",
             f"{cell.weight:g}",
-            f"{cell.small} {','.join(cell.spill)}".strip(),
+            f"{cell.undersized_policy} {','.join(cell.spill)}".strip(),
             ", ".join(tenants[:MAX_TENANTS_SHOWN]) + (" ..." if tenants[MAX_TENANTS_SHOWN:] else ""),
         )
     return table
@@ -266,7 +266,7 @@
         table.add_row(
             migration.tenant,
             str(migration.epoch),
-            directory.base_cell(migration.tenant, "")[0],
+            directory.base_cell(migration.tenant, "").name,
             migration.target_cell,
             stage_at(migration, now).value,
             f"{share_at(migration, now):.0%}",
@@ -296,10 +296,9 @@
     typer.echo(f"holders there: {_join(available.own)}")
     if available.insufficient:
         cell: Cell = directory.plan.cells[cell_name]
-        further = available.spilled if cell.small == "spill" else available.elsewhere
-        typer.echo(
-            f"too small for the lesson (wants {cell.holders}): {cell.small}, elsewhere {_join(further)}"
-        )
+        policy = cell.undersized_policy
+        further = available.spilled if policy is UndersizedPolicy.SPILL else available.elsewhere
+        typer.echo(f"too small for the lesson (wants {cell.holders}): {policy}, elsewhere {_join(further)}")
 
 
 def _join(servers: frozenset[str]) -> str:
--- a/tests/test_cells_parts.py
+++ b/tests/test_cells_parts.py
@@ -12,7 +12,7 @@
 from lotuspick.cells.directory import CellDirectory
 from lotuspick.cells.migration import MigrationStage
 from lotuspick.cells.migration_tracker import MigrationTracker
-from lotuspick.cells.model import Cell, Limits, Plan, PlanError, Selector, TenantMigration
+from lotuspick.cells.model import Cell, Limits, Plan, PlanError, Selector, TenantMigration, UndersizedPolicy
 from lotuspick.cells.returning_viewers import RecentNames, ReturningViewers
 from lotuspick.cells.session_counts import CellSession, SessionCounts
 from lotuspick.cells.toml_values import (
@@ -23,6 +23,7 @@
     read_texts,
     read_time,
 )
+from lotuspick.cells.undersized_tracker import UndersizedTracker
 from lotuspick.core.operator_events import RateLimitedEvents
 
 NOW = 100 * SECOND
@@ -197,5 +198,30 @@
         self.assertEqual(tracker.stages, {})
 
 
+class Undersized(unittest.TestCase):
+    def test_each_change_of_size_is_recorded_once_with_its_servers_and_policy(self) -> None:
+        cell = Cell("a", holders=2, undersized_policy=UndersizedPolicy.REFUSE)
+        events = RateLimitedEvents()
+        tracker = UndersizedTracker(events)
+        for second, count in enumerate((2, 1, 1, 0, 2)):
+            servers = [entry(index) for index in range(count)]
+            tracker.update(NOW + second * 60 * SECOND, CellDirectory(Plan({"a": cell}), 4, servers))
+        recorded = events.take_events()
+        self.assertEqual(
+            [(each.name, each.fields["servers"]) for each in recorded],
+            [("cell_undersized", 1), ("cell_empty", 0), ("cell_size_restored", 2)],
+        )
+        self.assertEqual(
+            {(each.fields["cell"], each.fields["holders"], each.fields["policy"]) for each in recorded},
+            {("a", 2, "refuse")},
+        )
+
+    def test_cell_that_left_the_plan_is_forgotten(self) -> None:
+        tracker = UndersizedTracker(RateLimitedEvents())
+        tracker.update(NOW, CellDirectory(Plan({"a": Cell("a"), "b": Cell("b")}), 4))
+        tracker.update(NOW, CellDirectory(Plan({"b": Cell("b")}, 2), 4))
+        self.assertEqual(tracker.server_counts, {"b": 0})
+
+
 if __name__ == "__main__":
     unittest.main()
