--- a/lotuspick/entitlement/constraints.py
+++ b/lotuspick/entitlement/constraints.py
@@ -34,6 +34,7 @@
     SeatChange,
     SeatSession,
     SeatTermination,
+    SessionTermination,
 )
 from lotuspick.entitlement.tokens import TokenVerifier
 
@@ -79,7 +80,7 @@
         self.events = RateLimitedEvents()
         self.counts: Counter[SeatChange] = Counter()  # since the last summary
         self.rejections: Counter[str] = Counter()  # by reason, since the last summary
-        self._terminations: deque[tuple[str, SeatTermination]] = deque()
+        self._terminations: deque[SessionTermination] = deque()
         self._unwritten: dict[str, Record] = {}  # by seat: the write failed, and is retried
         self._pending = PlacementConstraint(pending_reason=STORE, retry_after_us=self._retry_after_us)
         self._handlers: dict[type, Callable[[Any, int], None]] = {
@@ -200,7 +201,7 @@
         self.counts[SeatChange.RETURNED if before.counted else SeatChange.COUNTED] += 1
         self._write(self.ledger.mark_executed(self.wall(), event.session))
         if session.supersedes in self.sessions:
-            self._terminations.append((session.supersedes, SeatTermination.SUPERSEDED))
+            self._terminations.append(SessionTermination(session.supersedes, SeatTermination.SUPERSEDED))
 
     def _on_attempt_ended(self, event: AttemptEnded, _now: int) -> None:
         session = self.sessions.get(event.session)
@@ -344,7 +345,7 @@
         self.revoked = revoked
         for name, session in self.sessions.items():
             if session.playing and session.seat.seat in revoked:
-                self._terminations.append((name, SeatTermination.LAPSED))
+                self._terminations.append(SessionTermination(name, SeatTermination.LAPSED))
 
     def sweep(self, now: int) -> None:
         """Periodic work: end what has lapsed, retry failed writes, drop seats that nobody needs."""
@@ -352,7 +353,7 @@
             if session.playing and session.lapses_at_us <= now:
                 self.counts[SeatChange.LAPSED] += 1
                 session.lapses_at_us = now + TERMINATION_REPEAT_US
-                self._terminations.append((name, SeatTermination.LAPSED))
+                self._terminations.append(SessionTermination(name, SeatTermination.LAPSED))
         unwritten, self._unwritten = self._unwritten, {}
         for record in unwritten.values():
             self._write(record)
@@ -360,7 +361,7 @@
         if forgotten:
             self.journal.drop(forgotten, lambda _error: None)  # what stays on disk goes after the next start
 
-    def take_terminations(self) -> list[tuple[str, SeatTermination]]:
+    def take_terminations(self) -> list[SessionTermination]:
         """Sessions that are to end since the last call, and why."""
         taken = list(self._terminations)
         self._terminations.clear()
--- a/lotuspick/entitlement/seat_session.py
+++ b/lotuspick/entitlement/seat_session.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from lotuspick.core.events import SessionRequest
 from lotuspick.entitlement.ledger import Record
@@ -36,6 +36,13 @@
     """Its viewer came again and plays in a newer session."""
 
 
+class SessionTermination(NamedTuple):
+    """A session that is to end."""
+
+    session: str
+    reason: SeatTermination
+
+
 class SeatChange(StrEnum):
     """What is counted between two summaries. The values are keys of ``entitlement_summary``."""
 
--- a/lotuspick/program/entitlement.py
+++ b/lotuspick/program/entitlement.py
@@ -110,8 +110,8 @@
             Events to log, with a summary where it is asked for.
         """
         self.constraints.sweep(now)
-        for session, termination in self.constraints.take_terminations():
-            self.post(SessionRevoked(session, TERMINATION_REASONS[termination]))
+        for termination in self.constraints.take_terminations():
+            self.post(SessionRevoked(termination.session, TERMINATION_REASONS[termination.reason]))
         events = self.constraints.take_events()
         return [*events, self.constraints.summary()] if summary else events
 
