--- a/lotuspick/cells/constraints.py
+++ b/lotuspick/cells/constraints.py
@@ -14,10 +14,11 @@
 from lotuspick.cells.budgets import Budget, TenantBudgets
 from lotuspick.cells.cell_status import CHECK_INTERVAL_US, CellStatus
 from lotuspick.cells.directory import CellDirectory, hash_fraction
-from lotuspick.cells.model import Cell, Plan, PlanError
-from lotuspick.cells.move_tracker import MoveTracker
+from lotuspick.cells.migration_tracker import MigrationTracker
+from lotuspick.cells.model import Cell, Plan, PlanError, UndersizedPolicy
 from lotuspick.cells.returning_viewers import ReturningViewers
 from lotuspick.cells.session_counts import CellSession, SessionCounts
+from lotuspick.cells.undersized_tracker import UndersizedTracker
 from lotuspick.core.actions import FailSession, ForwardAttempt, Observation, RejectSession
 from lotuspick.core.constraints import PlacementConstraint
 from lotuspick.core.events import (
@@ -58,11 +59,11 @@
         self.counts = SessionCounts(self.directory, self.statuses)
         self.sessions = self.counts.sessions
         self.events = RateLimitedEvents()
-        self.moves = MoveTracker(self.events, self.counts.playing_of)
-        self._moves_checked_at_us = -CHECK_INTERVAL_US
+        self.migrations = MigrationTracker(self.events, self.counts.playing_of)
+        self.undersized = UndersizedTracker(self.events)
+        self._migrations_checked_at_us = -CHECK_INTERVAL_US
         self._rejected: dict[str, int] = {}  # by reason, since the last summary
         self._admitted = self._sent_elsewhere = 0  # since the last summary
-        self._undersized: dict[str, int] = {}
         self._handlers: dict[type, Callable[[Any, int], None]] = {
             ServerListUpdate: self._on_server_list,
             SessionPlaying: self._on_playing,
@@ -79,13 +80,13 @@
 
     def constraint_for(self, now: int, request: SessionRequest) -> PlacementConstraint:
         """The constraint of a request, or of a retry of it, at clock time ``now`` (us)."""
-        if not 0 <= now - self._moves_checked_at_us < CHECK_INTERVAL_US:
-            self._check_moves(now)
+        if not 0 <= now - self._migrations_checked_at_us < CHECK_INTERVAL_US:
+            self._check_migrations(now)
         session = self.sessions.get(request.session)
         if session is None:
             return self._admit(now, request)
         if session.retry_pending:
-            self._follow_move(session, now)
+            self._follow_migration(session, now)
             rejection = self._reject_over_budget(session, now)
             if rejection is not None:
                 return rejection
@@ -124,8 +125,8 @@
         for budget in (session.tenant, self.statuses[session.cell].budget):
             budget.retries.add(now)
 
-    def _follow_move(self, session: CellSession, now: int) -> None:
-        """A retry of a tenant that moved meanwhile goes where its viewers now belong."""
+    def _follow_migration(self, session: CellSession, now: int) -> None:
+        """A retry of a tenant that was migrated meanwhile goes where its viewers now belong."""
         request = session.request
         cell = self.directory.cell_for(request.tenant, request.title, request.viewer, True, now)
         self.counts.change_cell(session, cell)
@@ -169,7 +170,7 @@
     def _share(self, session: CellSession, now: int) -> float:
         """The tenant's share of the cell: by its weight, or by its usual first attempts."""
         request, name = session.request, session.cell
-        weight = self.directory.base_cell(request.tenant, request.title)[1]
+        weight = self.directory.base_cell(request.tenant, request.title).weight
         if weight:
             return weight / max(weight, self.directory.tenant_weights.get(name, 0.0))
         total = self.statuses[name].budget.usual
@@ -180,11 +181,11 @@
         if status.update_contention(now, self.plan.fair_share.contended_from):
             self.events.record(
                 now,
-                "cell contended" if status.contended else "cell at ease",
+                "cell_contended" if status.contended else "cell_contention_ended",
                 name,
                 cell=name,
                 load=round(status.mean_load(), 2),
-                refused=round(status.rejections.read(now), 1),
+                rejections=round(status.rejections.read(now), 1),
             )
         return status.contended
 
@@ -197,13 +198,13 @@
         retry_after_us = budget.retry_after_us(excess, draw)
         self.events.record(
             now,
-            "turned away",
+            "session_rejected",
             f"{reason} {budget.name}",
             reason=reason,
             tenant=session.request.tenant,
             cell=session.cell,
             excess=round(excess, 2),
-            gap_ms=retry_after_us // 1_000,
+            retry_after_ms=retry_after_us // 1_000,
         )
         return PlacementConstraint(reason=reason, retry_after_us=retry_after_us)
 
@@ -217,11 +218,11 @@
         )
         if not available.insufficient:
             return PlacementConstraint(servers=available.own)
-        further = {"widen": available.elsewhere, "spill": available.spilled}.get(cell.small)
+        further = available.further(cell.undersized_policy)
         if further and self._may_send_elsewhere(status, cell, now):
             costs = dict.fromkeys(further, ELSEWHERE_COST)
             return PlacementConstraint(servers=available.own | further, costs=costs)
-        if available.own and cell.small != "refuse":
+        if available.own and cell.undersized_policy is not UndersizedPolicy.REFUSE:
             return PlacementConstraint(servers=available.own)
         return self._reject(session, status.budget, "too-small", 1.0, now)
 
@@ -239,25 +240,9 @@
 
     def _on_server_list(self, update: ServerListUpdate, now: int) -> None:
         if self.directory.update_servers(update):
-            self._record_undersized(now)
+            self.undersized.update(now, self.directory)
             self.counts.recount(now)
 
-    def _record_undersized(self, now: int) -> None:
-        """Record which cells have become too small for any lesson, and which no longer are."""
-        undersized = self.directory.undersized_cells()
-        for name, cell in self.plan.cells.items():
-            if undersized.get(name) == self._undersized.get(name):
-                continue
-            if name not in undersized:
-                event = "cell large enough"
-            else:
-                event = "cell too small" if undersized[name] else "cell empty"
-            nodes = len(self.directory.servers_by_cell[name])
-            self.events.record(
-                now, event, name, cell=name, nodes=nodes, holders=cell.holders, policy=cell.small
-            )
-        self._undersized = undersized
-
     def _on_playing(self, request: SessionPlaying, now: int) -> None:
         if request.session in self.sessions:
             return
@@ -329,9 +314,9 @@
         if status is not None:
             status.report_load(server, load, now)
 
-    # ---- the plan and its moves ---------------------------------------------------------------------------
+    # ---- the plan and its migrations ----------------------------------------------------------------------
 
-    def take(self, plan: Plan, now: int) -> None:
+    def apply_plan(self, plan: Plan, now: int) -> None:
         """Follow another plan from now on (us); sessions, counts and the server list stay.
 
         Raises:
@@ -356,15 +341,20 @@
             self.statuses[name].apply_plan(cell, usual_window_s)
         self.counts.apply_plan(self.directory, self.statuses, now)
         self.events.record(
-            now, "plan taken", str(plan.epoch), epoch=plan.epoch, cells=len(plan.cells), moves=len(plan.moves)
+            now,
+            "cell_plan_applied",
+            str(plan.epoch),
+            epoch=plan.epoch,
+            cells=len(plan.cells),
+            migrations=len(plan.migrations),
         )
-        self._record_undersized(now)
-        self._check_moves(now)
+        self.undersized.update(now, self.directory)
+        self._check_migrations(now)
         self.counts.recount(now)
 
-    def _check_moves(self, now: int) -> None:
-        self._moves_checked_at_us = now
-        if self.moves.update(now, self.directory):
+    def _check_migrations(self, now: int) -> None:
+        self._migrations_checked_at_us = now
+        if self.migrations.update(now, self.directory):
             self.counts.recount(now)
 
     # ---- for operators ------------------------------------------------------------------------------------
@@ -378,16 +368,16 @@
         contended = [name for name, status in self.statuses.items() if status.contended]
         fields: dict[str, str | int | float] = {
             "epoch": self.plan.epoch,
-            "let_in": self._admitted,
-            "elsewhere": self._sent_elsewhere,
-            "held": len(self.sessions),
+            "admitted": self._admitted,
+            "sent_elsewhere": self._sent_elsewhere,
+            "sessions": len(self.sessions),
             "tenants": len(self.tenants),
             "contended": ",".join(contended) or "none",
-            "small": ",".join(self._undersized) or "none",
+            "undersized": ",".join(self.undersized.server_counts) or "none",
         }
         fields |= {
-            f"refused_{reason.replace('-', '_')}": count for reason, count in sorted(self._rejected.items())
+            f"rejected_{reason.replace('-', '_')}": count for reason, count in sorted(self._rejected.items())
         }
         self._admitted = self._sent_elsewhere = 0
         self._rejected.clear()
-        return OperatorEvent("cells", fields)
+        return OperatorEvent("cells_summary", fields)
--- a/lotuspick/cells/model.py
+++ b/lotuspick/cells/model.py
@@ -5,6 +5,7 @@
 import fnmatch
 from collections.abc import Mapping
 from dataclasses import dataclass
+from enum import StrEnum
 
 from netaddr import AddrFormatError, IPAddress, IPSet
 
@@ -90,6 +91,16 @@
             return False
 
 
+class UndersizedPolicy(StrEnum):
+    """What happens to a lesson that finds its cell too small. The values are the words of the file."""
+
+    SPILL = "spill"
+    """Use the cells that the spill list names, in order, as far as needed."""
+    WIDEN = "widen"
+    """Use all holders of the lesson."""
+    REFUSE = "refuse"
+
+
 @dataclass(frozen=True, slots=True)
 class Cell:
     """One cell."""
@@ -102,8 +113,8 @@
     """Each tenant uses so many of its nodes, drawn by hash; 0: all of them."""
     holders: int = 3
     """A lesson with fewer usable holders here (or fewer than it has anywhere) finds the cell too small."""
-    small: str = "widen"
-    """What then: ``spill`` to other cells in order, ``widen`` to all holders, or ``refuse``."""
+    undersized_policy: UndersizedPolicy = UndersizedPolicy.WIDEN
+    """What then."""
     spill: tuple[str, ...] = ()
     elsewhere: float = 0.3
     """Set-ups that may go to nodes of other cells, as a fraction of the cell's first attempts in 30 s."""
@@ -123,11 +134,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
-    """A tenant's declared change of cell. Times are Unix microseconds."""
+class TenantMigration:
+    """A tenant's declared change of cell (``[[moves]]`` in the file). Times are Unix microseconds."""
 
     tenant: str
-    to: str
+    target_cell: str
     epoch: int
     start_us: int
     prepare_us: int = 30 * SECOND
@@ -137,7 +148,7 @@
     """Sessions that play in the old cell count in both cells for at most so long after the shift."""
     pauses: tuple[tuple[int, int], ...] = ()
     """Times in which the shift is paused; the last may last (its end is ``FOREVER_US``)."""
-    back_us: int = 0
+    rollback_us: int = 0
     """From here on viewers are migrated back, at the same pace; 0: no rollback."""
 
 
@@ -153,10 +164,18 @@
     nameless: str = ""
     """The cell of requests without a tenant; empty: as by ``default``, their lesson hashed for a name."""
     rules: tuple[Rule, ...] = ()
-    moves: tuple[Move, ...] = ()
+    migrations: tuple[TenantMigration, ...] = ()
     tenant: Limits = Limits()
     fair_share: FairShare = FairShare()
     tenants_kept: int = 4_096
     viewers_kept: int = 65_536
     named: frozenset[str] = frozenset()
     """Tenants that the file names outright: these always have a budget of their own."""
+
+    def last_migration_of(self, tenant: str) -> TenantMigration:
+        """The migration of a tenant that was declared last.
+
+        Raises:
+            IndexError: it has none.
+        """
+        return [migration for migration in self.migrations if migration.tenant == tenant][-1]
--- a/lotuspick/entitlement/seat_session.py
+++ b/lotuspick/entitlement/seat_session.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from lotuspick.core.events import SessionRequest
 from lotuspick.entitlement.ledger import Record
@@ -40,8 +40,30 @@
     """Its viewer came again and plays in a newer session."""
 
 
+class SessionTermination(NamedTuple):
+    """A session that is to end."""
+
+    session: str
+    reason: SeatTermination
+
+
+class SeatChange(StrEnum):
+    """What is counted between two summaries. The values are keys of ``entitlement_summary``."""
+
+    RESERVED = "reserved"
+    COUNTED = "counted"
+    """A session plays, and its seat is counted: once for good."""
+    RETURNED = "returned"
+    """A viewer plays again on its seat, which was counted before."""
+    MARKED_INDETERMINATE = "marked_indeterminate"
+    RESOLVED = "resolved"
+    """Proof came of an indeterminate seat."""
+    RENEWED = "renewed"
+    LAPSED = "lapsed"
+
+
 @dataclass(frozen=True, slots=True)
-class Rules:
+class EntitlementRules:
     """Settings of an installation's entitlements."""
 
     classes: frozenset[str]
--- a/lotuspick/program/components.py
+++ b/lotuspick/program/components.py
@@ -116,7 +116,7 @@
         if plan is None:
             return False  # to switch cells on or off takes a restart
         try:
-            self.constraint_provider.take(plan, now_us())
+            self.constraint_provider.apply_plan(plan, now_us())
         except ValueError as error:
             log.error("cell_plan_rejected", extra={"reason": str(error)})
             return False
@@ -132,7 +132,7 @@
 
         assert broker.config.seats is not None
         self.seats = Entitlement(broker.config.seats, broker.reactor.callFromThread, broker.post)
-        self.constraint_provider = self.seats.guide
+        self.constraint_provider = self.seats.constraints
         self.renew_token: RenewToken | None = lambda session, token, done: self.seats.renew(
             now_us(), session, token, done
         )
@@ -143,7 +143,7 @@
 
     def reload(self, new: Config, applied: Config) -> Config:
         """Apply what the subsystem can."""
-        self.seats.reload(now_us())
+        self.seats.reload()
         return applied
 
     def close(self) -> None:
--- a/tests/test_seats_live.py
+++ b/tests/test_seats_live.py
@@ -21,7 +21,7 @@
 from lotuspick.entitlement.ledger import Record, State
 from lotuspick.entitlement.model import Seat
 from lotuspick.entitlement.renewal import RenewalRejection
-from lotuspick.entitlement.seat_session import Rules
+from lotuspick.entitlement.seat_session import EntitlementRules
 from lotuspick.entitlement.tokens import sign
 from lotuspick.lab.seats.trial import seats as seats_trial
 from lotuspick.plugin import Answer, Plugin, Refused, Released, TerminationReason
@@ -208,7 +208,7 @@
             b send KILL
             b expect EXIT code=-9
             b send START
-            b expect LINE in_doubt=1
+            b expect LINE msg=ledger_restored indeterminate=1
             v2 send SETUP s3 kind=exam token=A viewer=1
             e0 expect OPENED
             e0 expect SETUP s3
@@ -223,7 +223,7 @@
         )
         world.play("""
             b send HUP
-            b expect LINE settled=1
+            b expect LINE msg=proofs_applied resolved=1
             v2 send SETUP s5 kind=exam token=B viewer=2
             e0 expect SETUP s5
         """)
@@ -334,7 +334,13 @@
             keys, now = KeyFolder(Path(name, "keys")), [1_800_000_000 * SECOND]
             kid = keys.make(now[0] // SECOND, 600).kid
             told = SeatsConfig(
-                "site", Path(name, "keys"), Path(name, "store"), 16, Rules(frozenset({"exam"})), 0, 0
+                "site",
+                Path(name, "keys"),
+                Path(name, "store"),
+                16,
+                EntitlementRules(frozenset({"exam"})),
+                0,
+                0,
             )
             seats = Entitlement(
                 told,
@@ -344,7 +350,9 @@
             )
             self.addCleanup(seats.close)
             library, answers, heard = Library(), list[Answer](), list[RenewalRejection | None]()
-            plugin = Plugin(settings(classes=CLASSES), 7, library, clock=lambda: now[0], guide=seats.guide)
+            plugin = Plugin(
+                settings(classes=CLASSES), 7, library, clock=lambda: now[0], guide=seats.constraints
+            )
             plugin.servers(ServerListUpdate([entry(0)], complete=True))
 
             def token(epoch: int = 0) -> str:
--- a/tests/test_token_renewal.py
+++ b/tests/test_token_renewal.py
@@ -14,7 +14,7 @@
 from lotuspick.entitlement.ledger import Ledger
 from lotuspick.entitlement.model import TokenRejection
 from lotuspick.entitlement.renewal import RenewalCallback, RenewalFailure, RenewalRejection
-from lotuspick.entitlement.seat_session import Rules
+from lotuspick.entitlement.seat_session import EntitlementRules
 from lotuspick.protocol import rtsp
 from lotuspick.transport.http.http_player import HttpPlayer
 from lotuspick.transport.http.http_server import HttpServer, SessionResource
@@ -48,7 +48,7 @@
     def test_renewal_of_a_session_that_does_not_play_is_rejected_at_once(self) -> None:
         journal: Any = None
         seats = SeatConstraints(
-            Rules(frozenset({"exam"})), checker(), Ledger(30, 60), journal, lambda: float(NOW)
+            EntitlementRules(frozenset({"exam"})), checker(), Ledger(30, 60), journal, lambda: float(NOW)
         )
         results: list[RenewalRejection | None] = []
         seats.renew(0, SESSION, "any", results.append)
