--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -34,7 +34,8 @@
 HERE = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(HERE))
 
-from lotuspick.lab.fleet.rig import SETTINGS, Coordinator, Server  # noqa: E402
+from lotuspick.lab.fleet.fake_coordinator import CoordinatorServer  # noqa: E402
+from lotuspick.lab.fleet.site_settings import SITE_SETTINGS  # noqa: E402
 from lotuspick.lab.load.arrivals import Kind, Load, Phase, drawn  # noqa: E402
 from lotuspick.lab.load.sender import Sender, Target  # noqa: E402
 
@@ -82,7 +83,7 @@
 def one(tree: Path, seconds: float, seed: int) -> dict[str, list[float]]:
     """Start the tree's brokers, load them, and end them."""
     run = tomllib.loads((tree / "deploy/balancer.toml").read_text(encoding="utf-8"))["run"]
-    coordinator = Server(("127.0.0.1", 0), Coordinator)
+    coordinator = CoordinatorServer()
     threading.Thread(target=coordinator.serve_forever, daemon=True).start()
     found: dict[str, list[float]] = {name: [] for name in FIGURES}
     started: list[subprocess.Popen[bytes]] = []
@@ -127,8 +128,8 @@
                             "coordinator": f"127.0.0.1:{coordinator.server_address[1]}",
                             "limits": {"cores": 1.0, "memory_mb": 80, "sockets": 1_024},
                             "settings": {
-                                **SETTINGS,
-                                "FamilyInfo": {**SETTINGS["FamilyInfo"], "Cells": NODES},
+                                **SITE_SETTINGS,
+                                "FamilyInfo": {**SITE_SETTINGS["FamilyInfo"], "Cells": NODES},
                             },
                             "known": {
                                 "index": 1,
--- a/lotuspick/lab/__init__.py
+++ b/lotuspick/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on the project's own model of the world: an extra (``pip install .[lab]``), imported by nothing else."""
+"""Experiments: an extra (``pip install .[lab]``) that no other part of the package imports."""
--- /dev/null
+++ b/lotuspick/lab/errors.py
@@ -0,0 +1,34 @@
+"""Errors of the lab's rigs and trials."""
+
+from __future__ import annotations
+
+
+class LabError(Exception):
+    """A trial cannot go on."""
+
+
+class BrokerStartError(LabError):
+    """A broker's process ended before it accepted viewers."""
+
+    def __init__(self, broker: int, log_tail: str) -> None:
+        super().__init__(f"broker {broker} did not start: {log_tail}")
+        self.broker = broker
+        self.log_tail = log_tail
+
+
+class ConditionTimeoutError(LabError):
+    """What a rig waited for did not come about in time."""
+
+    def __init__(self, condition: str, timeout_s: float, details: str) -> None:
+        super().__init__(f"not so after {timeout_s:g} s: {condition} {details}")
+        self.condition = condition
+        self.timeout_s = timeout_s
+        self.details = details
+
+
+class NoFreePortError(LabError):
+    """No port was found that is free for TCP and UDP alike."""
+
+    def __init__(self, attempts: int) -> None:
+        super().__init__(f"no port is free for TCP and UDP alike, after {attempts} attempts")
+        self.attempts = attempts
--- /dev/null
+++ b/lotuspick/lab/fleet/fake_coordinator.py
@@ -0,0 +1,44 @@
+"""A fake coordinator: an HTTP server whose endpoint list never changes."""
+
+from __future__ import annotations
+
+import http.server
+import time
+from typing import Any
+
+LONG_POLL_S = 1.0
+UNCHANGED = b'{"index": 1, "updates": []}'
+
+
+class CoordinatorServer(http.server.ThreadingHTTPServer):
+    """The HTTP server, on a port of its own; ``serve_forever`` is for a thread."""
+
+    daemon_threads = True
+
+    def __init__(self) -> None:
+        super().__init__(("127.0.0.1", 0), LongPollHandler)
+
+    @property
+    def port(self) -> int:
+        """Where it listens on loopback."""
+        return int(self.server_address[1])
+
+    def handle_error(self, *_: Any) -> None:
+        """Say nothing: brokers that are killed leave their polls."""
+
+
+class LongPollHandler(http.server.BaseHTTPRequestHandler):
+    """Answers each poll, after a while, that nothing has changed."""
+
+    protocol_version = "HTTP/1.1"
+
+    def log_message(self, *_: Any) -> None:
+        """Log nothing."""
+
+    def do_GET(self) -> None:
+        """Answer a poll."""
+        time.sleep(LONG_POLL_S)
+        self.send_response(200)
+        self.send_header("Content-Length", str(len(UNCHANGED)))
+        self.end_headers()
+        self.wfile.write(UNCHANGED)
--- a/lotuspick/lab/fleet/trial.py
+++ b/lotuspick/lab/fleet/trial.py
@@ -1,5 +1,8 @@
-"""What is asked of real brokers that know each other: a story of faults drawn from the seed while viewers call, what
-the link costs, and whether serving is slower with it."""
+"""Trials of real brokers that know each other.
+
+A fault scenario drawn from the seed while viewers ask for sessions, two processes under one name, what
+the link costs, and whether brokers serve more slowly with it.
+"""
 
 from __future__ import annotations
 
@@ -8,159 +11,220 @@
 import sys
 import tempfile
 import time
+from collections.abc import Collection, Sequence
 from pathlib import Path
-from typing import Any
 
-from lotuspick.lab.fleet.rig import Call, Fleet, processor_s
-from lotuspick.lab.net.story import Fault, draw, rest, write
+from lotuspick.lab.errors import ConditionTimeoutError
+from lotuspick.lab.fleet.fleet_rig import HEALTHY, FleetRig
+from lotuspick.lab.fleet.set_up_result import SetUpResult
+from lotuspick.lab.net.fault_scenario import Fault, FaultKind, draw_scenario, recovery_faults, to_toml
+from lotuspick.lab.processes import processor_time_s
+from lotuspick.lab.trial_result import Figures, Parameters, TrialResult
 
-Found = tuple[dict[str, float], dict[str, list[float]]]
 NEVER_S = 60.0
-HURT = ("stall", "kill")
-
-
-def fleet(told: dict[str, Any], arm: dict[str, Any], seed: int) -> Found:
-    """``kind``: ``story`` (``brokers`` under faults for ``seconds``), ``names`` (two have one name), ``cost``
-    (processor time of ``brokers`` that only know each other) or ``serving`` (the same calls at the same time to brokers
-    that know each other and to as many that do not). Times in s, parts in percent."""
-    told = {**told, **arm}
+"""Stands for a time that was not reached."""
+NODES, FEW_NODES = 6, 3
+FLEET_REJECTION = "fleet-"
+"""Begins the reason of a rejection for the sake of the fleet."""
+DISPLACED = "displaced"
+"""The quorum state of a broker whose name another has taken."""
+SET_UPS_AFTER_TAKEOVER = 200
+
+
+def fleet(world: Parameters, arm: Parameters, seed: int) -> TrialResult:
+    """Run one trial.
+
+    Args:
+        world: Parameters of all arms.
+        arm: Parameters of this one. ``kind`` is ``story`` (``brokers`` under faults for ``seconds``),
+            ``names`` (two have one name), ``cost`` (processor time of ``brokers`` that only know each
+            other) or ``serving`` (the same load at the same time on brokers that know each other and on
+            as many that do not).
+        seed: Of all random choices.
+
+    Returns:
+        Times in seconds, shares in percent.
+    """
+    parameters = {**world, **arm}
     with tempfile.TemporaryDirectory() as name:
-        match told["kind"]:
+        folder = Path(name)
+        match parameters["kind"]:
             case "story":
-                return story(Path(name), told, seed)
+                return _run_scenario_trial(folder, parameters, seed)
             case "names":
-                return names(Path(name), told, seed)
+                return _run_name_conflict_trial(folder, parameters, seed)
             case "cost":
-                return cost(Path(name), told, seed)
+                return _run_cost_trial(folder, parameters, seed)
             case _:
-                return serving(Path(name), told, seed)
+                return _run_serving_trial(folder, parameters, seed)
 
 
-def outcomes(calls: list[Call], hurt: set[int]) -> dict[str, float]:
-    """How many set-ups had no outcome, or more than one, though their connection stood; and the part of plain ones at
-    brokers whose process was not hurt that was not served."""
-    wrong = [
-        call
-        for call in calls
-        if call.answers > 1 or call.answers == 0 and not call.cut and call.broker not in hurt
-    ]
-    plain = [call for call in calls if not call.paid and call.broker not in hurt]
-    paid = [call for call in calls if call.paid]
+def summarize(results: Sequence[SetUpResult], disturbed: Collection[int]) -> Figures:
+    """Count outcomes.
+
+    Args:
+        results: All set-ups.
+        disturbed: Brokers whose process was stalled or killed.
+
+    Returns:
+        How many set-ups had no outcome, or more than one, though their connection stood; and which share
+        of the plain ones was not served by brokers that were not disturbed.
+    """
+    paid = [result for result in results if result.is_paid]
+    plain = [result for result in results if not result.is_paid]
+    plain_undisturbed = [result for result in plain if result.broker not in disturbed]
+    plain_lost = sum(not result.is_served for result in plain_undisturbed)
+    paid_rejected = sum(result.reason.startswith(FLEET_REJECTION) for result in paid)
     return {
-        "calls": float(len(calls)),
-        "not_one_outcome": float(len(wrong)),
-        "plain_lost": 100 * sum(call.status != 200 for call in plain) / max(1, len(plain)),
-        "paid_turned_away": 100 * sum(call.reason.startswith("fleet-") for call in paid) / max(1, len(paid)),
-        "plain_turned_away": float(sum(call.reason.startswith("fleet-") for call in calls if not call.paid)),
+        "calls": float(len(results)),
+        "not_one_outcome": float(sum(_has_wrong_outcome(result, disturbed) for result in results)),
+        "plain_lost": 100 * plain_lost / max(1, len(plain_undisturbed)),
+        "paid_turned_away": 100 * paid_rejected / max(1, len(paid)),
+        "plain_turned_away": float(sum(result.reason.startswith(FLEET_REJECTION) for result in plain)),
     }
 
 
-def story(folder: Path, told: dict[str, Any], seed: int) -> Found:
-    """All kinds of faults on one fleet, then none, until all agree."""
-    count, seconds = int(told["brokers"]), float(told["seconds"])
-    faults = draw(random.Random(f"story {seed}"), count, seconds)
-    made = Fleet(folder, count, 6, seed)
+def _has_wrong_outcome(result: SetUpResult, disturbed: Collection[int]) -> bool:
+    if result.answer_count > 1:
+        return True
+    return result.answer_count == 0 and not result.connection_lost and result.broker not in disturbed
+
+
+def _run_scenario_trial(folder: Path, parameters: Parameters, seed: int) -> TrialResult:
+    """All kinds of faults on one fleet, then none, until all brokers agree."""
+    count, seconds = int(parameters["brokers"]), float(parameters["seconds"])
+    scenario = draw_scenario(random.Random(f"story {seed}"), count, seconds)
+    rig = FleetRig(folder, count, NODES, seed)
     try:
-        made.agree(range(count))
-        made.call(float(told["rate"]))
-        made.play(faults + rest(faults, seconds))
-        began = time.monotonic()
-        try:
-            made.agree(range(count))
-            took_s = time.monotonic() - began
-        except RuntimeError as error:
-            took_s = NEVER_S
-            print(f"seed {seed}: {error}\n{write(faults)}", file=sys.stderr)
-        calls = made.called()
-        hurt = {at for fault in faults if fault.do in HURT for at in fault.one}
-        crashed = sum("Traceback" in made.log(at) for at in range(count))
+        rig.wait_for_agreement(range(count))
+        rig.start_load(float(parameters["rate"]))
+        rig.run_scenario(scenario + recovery_faults(scenario, seconds))
+        agreed_s = _agreement_s(rig, scenario)
+        results = rig.stop_load()
+        crashed = len(rig.crashed_brokers())
     finally:
-        made.end()
-    return {
-        **outcomes(calls, hurt),
-        "agree_s": took_s,
-        "never_agreed": float(took_s >= NEVER_S),
-        "faults": float(len(faults)),
+        rig.close()
+    figures = {
+        **summarize(results, _disturbed_brokers(scenario)),
+        "agree_s": agreed_s,
+        "never_agreed": float(agreed_s >= NEVER_S),
+        "faults": float(len(scenario)),
         "crashed": float(crashed),
-    }, {"agree_s": [took_s]}
+    }
+    return TrialResult(figures, {"agree_s": [agreed_s]})
+
+
+def _agreement_s(rig: FleetRig, scenario: Sequence[Fault]) -> float:
+    """Seconds until all brokers agree; a scenario after which they do not is printed on standard error."""
+    began_s = time.monotonic()
+    try:
+        rig.wait_for_agreement(range(len(rig.brokers)))
+    except ConditionTimeoutError as error:
+        print(f"seed {rig.seed}: {error}\n{to_toml(scenario)}", file=sys.stderr)
+        return NEVER_S
+    return time.monotonic() - began_s
+
+
+def _disturbed_brokers(scenario: Sequence[Fault]) -> set[int]:
+    """Brokers whose process the faults of a scenario strike."""
+    strikes = [fault for fault in scenario if fault.kind in (FaultKind.STALL, FaultKind.KILL)]
+    return {broker for fault in strikes for broker in fault.brokers}
 
 
-def names(folder: Path, told: dict[str, Any], seed: int) -> Found:
-    """A process comes under a name that another has, with the ways to that one cut or not: for how long both served
-    paid set-ups, from the first answer of the newcomer to the last of the other, as their viewers saw them."""
-    count = int(told["brokers"])
-    made = Fleet(folder, count + 1, 6, seed, names={count: "n1"}, later=1)
+def _run_name_conflict_trial(folder: Path, parameters: Parameters, seed: int) -> TrialResult:
+    """A process starts under a name that another has, with the links to that one cut or not.
+
+    Measured is for how long both served paid set-ups, from the first answer of the newcomer to the last
+    of the other, as their viewers saw them.
+    """
+    newcomer = int(parameters["brokers"])
+    other = 1
+    rig = FleetRig(folder, newcomer + 1, NODES, seed, name_overrides={newcomer: f"n{other}"}, late_brokers=1)
     try:
-        made.agree(range(count))
-        made.call(float(told["rate"]), paid=0.8)
-        if told.get("cut"):
-            made.happens(Fault(0.0, "cut", (count,), (1,)))
-        made.launch(count)
-        made.stood([1], "displaced")
-        made.stood([count], "whole")
-        ran = len(made.ran())
-        made.until(lambda: len(made.ran()) > ran + 200, "set-ups run")
-        calls = made.called()
-        paid = {
-            at: [
-                call.asked_s + call.took_ms / 1_000
-                for call in calls
-                if call.broker == at and call.paid and call.status == 200
-            ]
-            for at in (1, count)
-        }
-        crashed = sum("Traceback" in made.log(at) for at in range(count + 1))
+        rig.wait_for_agreement(range(newcomer))
+        rig.start_load(float(parameters["rate"]), paid=0.8)
+        if parameters.get("cut"):
+            rig.inject(Fault(0.0, FaultKind.CUT, (newcomer,), (other,)))
+        rig.launch(newcomer)
+        rig.wait_for_quorum_state([other], DISPLACED)
+        rig.wait_for_quorum_state([newcomer], HEALTHY)
+        set_ups = len(rig.node_set_ups())
+        rig.wait_until(lambda: len(rig.node_set_ups()) > set_ups + SET_UPS_AFTER_TAKEOVER, "set-ups run")
+        results = rig.stop_load()
+        crashed = len(rig.crashed_brokers())
     finally:
-        made.end()
-    both_s = max(0.0, max(paid[1]) - min(paid[count]))
-    return {**outcomes(calls, {count}), "both_s": both_s, "crashed": float(crashed)}, {"both_s": [both_s]}
+        rig.close()
+    last_of_other = max(_paid_answers_s(results, other))
+    both_s = max(0.0, last_of_other - min(_paid_answers_s(results, newcomer)))
+    figures = {**summarize(results, {newcomer}), "both_s": both_s, "crashed": float(crashed)}
+    return TrialResult(figures, {"both_s": [both_s]})
+
+
+def _paid_answers_s(results: Sequence[SetUpResult], broker: int) -> list[float]:
+    """When paid viewers of a broker were told that they are served."""
+    return [
+        result.answered_s
+        for result in results
+        if result.broker == broker and result.is_paid and result.is_served
+    ]
 
 
-def cost(folder: Path, told: dict[str, Any], seed: int) -> Found:
+def _run_cost_trial(folder: Path, parameters: Parameters, seed: int) -> TrialResult:
     """Processor time of brokers without viewers over a quiet stretch, as percent of a core, each."""
-    count, seconds = int(told["brokers"]), float(told["seconds"])
-    made = Fleet(folder, count, 3, seed, direct=True, peers=bool(told["peers"]))
+    count, peers_enabled = int(parameters["brokers"]), bool(parameters["peers"])
+    rig = FleetRig(folder, count, FEW_NODES, seed, proxied=False, peers_enabled=peers_enabled)
     try:
-        if told["peers"]:
-            made.agree(range(count))
-        time.sleep(float(told["settle"]))  # what was told on joining is told by then
-        before = [processor_s(made.brokers[at].pid) for at in range(count)]
-        began = time.monotonic()
-        time.sleep(seconds)
-        took_s = time.monotonic() - began
-        used = [100 * (processor_s(made.brokers[at].pid) - before[at]) / took_s for at in range(count)]
+        if peers_enabled:
+            rig.wait_for_agreement(range(count))
+        time.sleep(float(parameters["settle"]))  # what is gossiped on joining has spread by then
+        before_s = _processor_times_s(rig)
+        began_s = time.monotonic()
+        time.sleep(float(parameters["seconds"]))
+        took_s = time.monotonic() - began_s
+        after_s = _processor_times_s(rig)
     finally:
-        made.end()
-    return {"core": statistics.fmean(used), "core_most": max(used)}, {"core": used}
+        rig.close()
+    used = [100 * (after - before) / took_s for before, after in zip(before_s, after_s)]
+    return TrialResult({"core": statistics.fmean(used), "core_most": max(used)}, {"core": used})
+
 
+def _processor_times_s(rig: FleetRig) -> list[float]:
+    return [processor_time_s(process.pid) for process in rig.brokers.values()]
 
-def serving(folder: Path, told: dict[str, Any], seed: int) -> Found:
-    """Median and 99th percentile of the time to an answer, with peers on over off."""
-    took: dict[bool, list[float]] = {}
-    fleets: dict[bool, Fleet] = {}
+
+def _run_serving_trial(folder: Path, parameters: Parameters, seed: int) -> TrialResult:
+    """Median and 99th percentile of the time to an answer, with peers enabled over disabled."""
+    count = int(parameters["brokers"])
+    rigs: dict[bool, FleetRig] = {}
+    took_ms: dict[bool, list[float]] = {}
     try:
-        for on in (False, True):
-            there = folder / f"peers-{on}"
-            there.mkdir()
-            fleets[on] = Fleet(there, int(told["brokers"]), 6, seed, direct=True, peers=on)
-        fleets[True].agree(range(int(told["brokers"])))
-        for made in fleets.values():
-            made.call(float(told["rate"]), paid=0.5)
-        time.sleep(float(told["seconds"]))
-        for on, made in fleets.items():
-            took[on] = [call.took_ms for call in made.called() if call.status == 200]
+        for peers_enabled in (False, True):
+            rig_folder = folder / f"peers-{peers_enabled}"
+            rig_folder.mkdir()
+            rigs[peers_enabled] = FleetRig(
+                rig_folder, count, NODES, seed, proxied=False, peers_enabled=peers_enabled
+            )
+        rigs[True].wait_for_agreement(range(count))
+        for rig in rigs.values():
+            rig.start_load(float(parameters["rate"]), paid=0.5)
+        time.sleep(float(parameters["seconds"]))
+        for peers_enabled, rig in rigs.items():
+            took_ms[peers_enabled] = [result.took_ms for result in rig.stop_load() if result.is_served]
     finally:
-        for made in fleets.values():
-            made.end()
-    row: dict[str, float] = {}
-    for name, on in (("off", False), ("on", True)):
-        cuts = statistics.quantiles(took[on], n=100)
-        row |= {
-            f"median_{name}_ms": cuts[49],
-            f"p99_{name}_ms": cuts[98],
-            f"calls_{name}": float(len(took[on])),
-        }
-    return row | {
-        "median_ratio": row["median_on_ms"] / row["median_off_ms"],
-        "p99_ratio": row["p99_on_ms"] / row["p99_off_ms"],
-    }, {}
+        for rig in rigs.values():
+            rig.close()
+    figures = _latency_figures("off", took_ms[False]) | _latency_figures("on", took_ms[True])
+    ratios = {
+        "median_ratio": figures["median_on_ms"] / figures["median_off_ms"],
+        "p99_ratio": figures["p99_on_ms"] / figures["p99_off_ms"],
+    }
+    return TrialResult(figures | ratios, {})
+
+
+def _latency_figures(name: str, took_ms: list[float]) -> Figures:
+    percentiles = statistics.quantiles(took_ms, n=100)
+    return {
+        f"median_{name}_ms": percentiles[49],
+        f"p99_{name}_ms": percentiles[98],
+        f"calls_{name}": float(len(took_ms)),
+    }
--- a/lotuspick/lab/load/sender.py
+++ b/lotuspick/lab/load/sender.py
@@ -15,7 +15,7 @@
 
 from lotuspick.lab.load.arrivals import Arrival
 from lotuspick.lab.load.measure import Found
-from lotuspick.lab.rtsp import take
+from lotuspick.lab.rtsp import parse_messages
 
 SILENT, CUT, NOT_CONNECTED = "silent", "cut", "not-connected"
 CONNECT_S = 2.0
@@ -51,7 +51,7 @@
             self.sender.answered(each, CUT)
 
     def data_received(self, data: bytes) -> None:
-        messages, self.buffer = take(self.buffer + data)
+        messages, self.buffer = parse_messages(self.buffer + data)
         for first, headers in messages:
             session = headers.get("session", "")
             if first.startswith("RTSP/1.0") and session in self.open:
--- a/lotuspick/lab/load/standin.py
+++ b/lotuspick/lab/load/standin.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from lotuspick.lab.rtsp import take
+from lotuspick.lab.rtsp import parse_messages
 
 CONSTANT_S, FAST_S, SLOW_S, SLOW_EACH = 0.02, 0.005, 0.25, 50
 STALL_FROM_S, STALL_TO_S = 3.0, 4.0
@@ -45,7 +45,7 @@
 
     def data_received(self, data: bytes) -> None:
         loop = asyncio.get_running_loop()
-        messages, self.buffer = take(self.buffer + data)
+        messages, self.buffer = parse_messages(self.buffer + data)
         for first, headers in messages:
             if not first.startswith("SETUP"):
                 continue
--- a/lotuspick/lab/net/fleet.py
+++ b/lotuspick/lab/net/fleet.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from lotuspick.lab.net.story import Fault, draw, rest, write
+from lotuspick.lab.net.fault_scenario import Fault, draw_scenario, recovery_faults, to_toml
 from lotuspick.lab.net.world import MS, Host, Weather, World
 from lotuspick.membership.members import Members
 from lotuspick.membership.model import Begin, Changed, Displaced, Rules, State
@@ -86,20 +86,20 @@
 
     def happens(self, fault: Fault) -> None:
         """One fault of a story. There are no connections to reset here."""
-        one = [self.names[at] for at in fault.one] or self.names
+        one = [self.names[at] for at in fault.brokers] or self.names
         other = (
-            [self.names[at] for at in fault.other] or [name for name in self.names if name not in one] or one
+            [self.names[at] for at in fault.others] or [name for name in self.names if name not in one] or one
         )
-        match fault.do:
+        match fault.kind:
             case "cut":
-                self.cut(one, other, fault.both)
+                self.cut(one, other, fault.both_ways)
             case "heal":
                 self.heal()
                 self.weather.loss = 0.0
             case "loss":
-                self.weather.loss = fault.part
+                self.weather.loss = fault.amount
             case "delay":
-                self.weather.delay_us = (self.weather.delay_us[0], max(2_000, int(fault.part * SECOND)))
+                self.weather.delay_us = (self.weather.delay_us[0], max(2_000, int(fault.amount * SECOND)))
             case "stall":
                 for name in one:
                     self.stall(name)
@@ -113,7 +113,7 @@
             case "start" | "wiped":
                 for name in one:
                     if not self.hosts[name].up:
-                        self.start(name, fault.do == "wiped")
+                        self.start(name, fault.kind == "wiped")
             case _:
                 pass
 
@@ -210,12 +210,12 @@
     """A story drawn from the seed, with clocks at other rates and doubled messages; then all ends, what is down is
     started, and the time is taken until all views agree. A story after which they do not is told on standard error."""
     made.weather.doubled = made.random.choice([0.0, 0.1, 0.2])
-    story = draw(made.random, len(made.names), seconds)
-    made.play(story + rest(story, seconds))
+    story = draw_scenario(made.random, len(made.names), seconds)
+    made.play(story + recovery_faults(story, seconds))
     made.weather = Weather()
     took_s = made.agree_s()
     if took_s > SETTLED_S:
-        print(write(story), file=sys.stderr)
+        print(to_toml(story), file=sys.stderr)
     return {"agree_s": min(took_s, NEVER_S), "displaced": float(len(made.news(Displaced)))}, {
         "agree_s": [took_s]
     }
--- a/lotuspick/lab/seats/trial.py
+++ b/lotuspick/lab/seats/trial.py
@@ -15,29 +15,31 @@
 from pathlib import Path
 from typing import Any
 
-from lotuspick.lab.fleet.rig import Port, Rig, processor_s
+from lotuspick.lab.fleet.broker_rig import BrokerRig
+from lotuspick.lab.fleet.reserved_port import ReservedPort
+from lotuspick.lab.processes import processor_time_s
 from lotuspick.lab.seats.audit import audit
 from lotuspick.lab.seats.nodes import FAULTS
 from lotuspick.transport.storage.key_folder import KeyFolder
 
 
-class Fleet(Rig):
+class Fleet(BrokerRig):
     """Brokers with seats, an HTTP front, and clocks that can be set."""
 
-    module = "lotuspick.lab.seats.broker"
+    broker_module = "lotuspick.lab.seats.broker"
 
     def __init__(self, folder: Path, told: dict[str, Any], seed: int) -> None:
         self.told = told
-        self.faults = FAULTS if told.get("faults", True) else {}
-        self.http = [Port() for _ in range(told["brokers"])]
-        super().__init__(folder, told["brokers"], told["nodes"], seed)
-        self.listens = [(port.number, http.number) for port, http in zip(self.held, self.http)]
+        self.http = [ReservedPort() for _ in range(told["brokers"])]
+        faults = FAULTS if told.get("faults", True) else {}
+        super().__init__(folder, told["brokers"], told["nodes"], seed, node_faults=faults)
+        self.listens = [(port.number, http.number) for port, http in zip(self.rtsp_ports, self.http)]
 
     def prepare(self) -> None:
         KeyFolder(self.folder / "keys").make(int(time.time()) - 10, 600)
 
-    def configure(self, at: int) -> None:
-        super().configure(at)
+    def configure_broker(self, at: int) -> None:
+        super().configure_broker(at)
         (self.folder / f"b{at}-hints.toml").write_text(
             f'enabled = true\nlisten = "127.0.0.1:{self.http[at].number}"\n'
         )
@@ -46,11 +48,11 @@
             f'store = "store{at}"\nstore_mib = 2048\n'
         )
 
-    def command(self, at: int) -> list[str]:
-        module, *rest = super().command(at)
+    def broker_command(self, at: int) -> list[str]:
+        module, *rest = super().broker_command(at)
         return [module, str(self.folder / f"b{at}-clock"), *rest]
 
-    def options(self, at: int) -> list[str]:
+    def broker_options(self, at: int) -> list[str]:
         return [
             "--hints",
             str(self.folder / f"b{at}-hints.toml"),
@@ -62,10 +64,10 @@
         (self.folder / f"b{at}-clock").write_text(str(off_s))
         self.brokers[at].send_signal(signal.SIGUSR1)
 
-    def end(self) -> None:
-        super().end()
+    def close(self) -> None:
+        super().close()
         for port in self.http:
-            port.held.close()
+            port.close()
 
 
 def seats(
@@ -81,7 +83,7 @@
         try:
             return play(fleet, folder, told, seed)
         finally:
-            fleet.end()
+            fleet.close()
 
 
 def play(
@@ -89,7 +91,7 @@
 ) -> tuple[dict[str, float], dict[str, list[float]]]:
     """The run itself, and what was found."""
     draw, clients, viewers = random.Random(f"faults {seed}"), told["clients"], []
-    before_s = sum(processor_s(each.pid) for each in fleet.brokers.values())
+    before_s = sum(processor_time_s(each.pid) for each in fleet.brokers.values())
     began = time.monotonic()
     for part in range(clients):
         job = folder / f"job{part}.json"
@@ -109,7 +111,7 @@
                 }
             )
         )
-        viewers.append(fleet.spawn("lotuspick.lab.seats.viewers", str(job)))
+        viewers.append(fleet.start_process("lotuspick.lab.seats.viewers", str(job)))
     steps = [-30.0, 3_600.0, 0.0] if told.get("clocks", True) else []
     kills, next_s, stepped = 0, float(told.get("kill_s", 0)) or float("inf"), 0
     length_s = told["sessions"] / told["rate"]
@@ -130,9 +132,9 @@
     if any(each.returncode for each in viewers):
         raise RuntimeError("viewers failed")
     cpu_s = (
-        sum(processor_s(each.pid) for each in fleet.brokers.values()) - before_s
+        sum(processor_time_s(each.pid) for each in fleet.brokers.values()) - before_s
     )  # of no use where some were killed
-    fleet.end()  # brokers write what waits, nodes what they ran
+    fleet.close()  # brokers write what waits, nodes what they ran
     row, samples = judge(folder, told, kills, stepped, took_s)
     return {**row, "cpu_s": cpu_s}, samples
 
--- a/lotuspick/lab/seats/viewers.py
+++ b/lotuspick/lab/seats/viewers.py
@@ -15,7 +15,7 @@
 
 from lotuspick.entitlement.model import Seat
 from lotuspick.entitlement.tokens import sign
-from lotuspick.lab.rtsp import ANSWER_S, LOST, Answer, Rtsp
+from lotuspick.lab.rtsp import ANSWER_TIMEOUT_S, LOST, RtspAnswer, RtspConnection
 from lotuspick.transport.storage.key_folder import KeyFolder
 
 TRIES, LEFT_MS = 40, 3_000
@@ -26,19 +26,21 @@
 
     def __init__(self, port: int, http: int) -> None:
         self.port, self.http = port, http
-        self.open: dict[int, Rtsp] = {}
+        self.open: dict[int, RtspConnection] = {}
         self.locks: dict[int, asyncio.Lock] = {}
 
-    async def connection(self, at: int) -> Rtsp | None:
+    async def connection(self, at: int) -> RtspConnection | None:
         made = self.open.get(at)
-        if made is not None and made.up:
+        if made is not None and made.connected:
             return made
         async with self.locks.setdefault(at, asyncio.Lock()):
             made = self.open.get(at)
-            if made is not None and made.up:
+            if made is not None and made.connected:
                 return made
             try:
-                _, made = await asyncio.get_running_loop().create_connection(Rtsp, "127.0.0.1", self.port)
+                _, made = await asyncio.get_running_loop().create_connection(
+                    RtspConnection, "127.0.0.1", self.port
+                )
             except OSError:
                 return None
             self.open[at] = made
@@ -144,15 +146,15 @@
         if leaves:  # this viewer's own connection is cut with its set-up open
             try:
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    Rtsp, "127.0.0.1", broker.port
+                    RtspConnection, "127.0.0.1", broker.port
                 )
             except OSError:
                 return (*LOST, "")
             asyncio.get_running_loop().call_later(draw.uniform(0.0, 0.03), connection.transport.abort)
         over = asyncio.Event()
-        connection.cut[session] = over.set
+        connection.on_session_ended[session] = over.set
         try:
-            status, reason, gap_ms = await connection.ask(
+            status, reason, gap_ms = await connection.request(
                 "SETUP", "1", session, headers, f"seat={seat}", "aa00"
             )
             if status != 200:
@@ -160,7 +162,7 @@
             if draw.random() < 0.05:
                 newer = self.token(seat, viewer, epoch + 1, int(time.time()))
                 for turn in range(1 + (draw.random() < 0.2)):
-                    renewed, why, _ = await connection.ask(
+                    renewed, why, _ = await connection.request(
                         "SET_PARAMETER", str(7 + turn), session, {"P-Token": newer}
                     )
                     met["renewed" if renewed == 200 else f"renewal-{why.replace(' ', '-')}"] += 1
@@ -168,7 +170,7 @@
                 await asyncio.wait_for(over.wait(), draw.uniform(0.1, 1.0))
                 return 200, "", 0, "cut"
             except TimeoutError:
-                status, _, _ = await connection.ask("TEARDOWN", "2", session, {})
+                status, _, _ = await connection.request("TEARDOWN", "2", session, {})
                 return (
                     200,
                     "",
@@ -176,7 +178,7 @@
                     "left" if status == 200 else "lost",
                 )  # lost with its broker, who may not know of it
         finally:
-            connection.cut.pop(session, None)
+            connection.on_session_ended.pop(session, None)
 
     async def over_http(
         self, broker: Broker, session: str, headers: dict[str, str], token: str, body: str
@@ -188,12 +190,12 @@
             return (*LOST, "")
         try:
             asked = http(reader, writer, "POST", "/media/aa00", headers, body)
-            status, text, gap_ms = await asyncio.wait_for(asked, ANSWER_S)
+            status, text, gap_ms = await asyncio.wait_for(asked, ANSWER_TIMEOUT_S)
             if status != 200:
                 return status, text or "refused", gap_ms, ""
             await asyncio.sleep(self.draw.uniform(0.1, 1.0))
             asked = http(reader, writer, "DELETE", f"/sessions/{session}", {}, "")
-            status, _, _ = await asyncio.wait_for(asked, ANSWER_S)
+            status, _, _ = await asyncio.wait_for(asked, ANSWER_TIMEOUT_S)
             return 200, "", 0, "left" if status == 204 else "cut"
         except (OSError, TimeoutError, ValueError, asyncio.IncompleteReadError):
             return (*LOST, "")
@@ -208,7 +210,7 @@
     path: str,
     headers: dict[str, str],
     body: str,
-) -> Answer:
+) -> RtspAnswer:
     """One request on a connection that stays open."""
     lines = [
         f"{method} {path} HTTP/1.1",
@@ -222,7 +224,9 @@
     head = (await reader.readuntil(b"\r\n\r\n")).decode("ascii").split("\r\n")
     told = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:])}
     text = await reader.readexactly(int(told.get("content-length", "0")))
-    return int(head[0].split(" ")[1]), text.decode("ascii", "replace"), int(told.get("p-gap-ms", "0"))
+    return RtspAnswer(
+        int(head[0].split(" ")[1]), text.decode("ascii", "replace"), int(told.get("p-gap-ms", "0"))
+    )
 
 
 def main() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,192 +15,219 @@
 
 from scenario import ROOT
 
-from lotuspick.lab.fleet.rig import Call, Fleet
-from lotuspick.lab.net.story import Fault
+from lotuspick.lab.fleet.fleet_rig import FleetRig
+from lotuspick.lab.fleet.set_up_result import SetUpResult
+from lotuspick.lab.net.fault_scenario import Fault, FaultKind
 
-WATCH = {"silent_ms": 1_200, "doubt_ms": 1_500}  # patient: many fleets share the machine here
+FAILURE_DETECTION = {"silent_ms": 1_200, "doubt_ms": 1_500}  # patient: many fleets share the machine here
 
 
 class Case(unittest.TestCase):
-    def fleet(self, brokers: int = 5, rate: float = 4.0, **changes: Any) -> Fleet:
+    def fleet(self, brokers: int = 5, rate: float = 4.0, **changes: Any) -> FleetRig:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        made = Fleet(Path(folder.name), brokers, 3, 1, watch=WATCH, **changes)
-        self.addCleanup(made.end)
-        made.agree(range(brokers - made.later))
-        made.call(rate)
-        return made
+        rig = FleetRig(Path(folder.name), brokers, 3, 1, failure_detection=FAILURE_DETECTION, **changes)
+        self.addCleanup(rig.close)
+        rig.wait_for_agreement(range(brokers - rig.late_brokers))
+        rig.start_load(rate)
+        return rig
 
-    def deaths(self, made: Fleet, of: int | None = None) -> list[str]:
+    def deaths(self, rig: FleetRig, of: int | None = None) -> list[str]:
         """Lines in which brokers say that one is dead."""
-        named = made.name(of) if of is not None else "\\S+"
+        named = rig.broker_name(of) if of is not None else "\\S+"
         return [
             line
-            for at in made.brokers
-            for line in made.log(at).splitlines()
+            for at in rig.brokers
+            for line in rig.broker_log(at).splitlines()
             if re.search(rf"msg=member member={named} state=dead", line)
         ]
 
-    def judge(self, made: Fleet, hurt: set[int]) -> list[Call]:
+    def judge(self, rig: FleetRig, hurt: set[int]) -> list[SetUpResult]:
         """Each set-up had one outcome, and plain ones lost nothing at brokers whose process was not hurt."""
-        calls = made.called()
-        self.assertGreater(len(calls), 50)
-        for call in calls:
-            self.assertEqual(call.answers, 0 if call.cut and not call.status else 1, call)
-            if call.broker not in hurt:
-                self.assertFalse(call.cut, call)
-                self.assertTrue(call.status == 200 or call.paid and call.reason.startswith("fleet-"), call)
-        for at in made.brokers:
-            self.assertNotIn("Traceback", made.log(at))
-        return calls
+        results = rig.stop_load()
+        self.assertGreater(len(results), 50)
+        for result in results:
+            self.assertEqual(
+                result.answer_count, 0 if result.connection_lost and not result.status else 1, result
+            )
+            if result.broker not in hurt:
+                self.assertFalse(result.connection_lost, result)
+                self.assertTrue(
+                    result.status == 200 or result.is_paid and result.reason.startswith("fleet-"), result
+                )
+        for at in rig.brokers:
+            self.assertNotIn("Traceback", rig.broker_log(at))
+        return results
 
 
 class Links(Case):
     def test_cuts_that_heal_and_overlap_and_flap(self) -> None:
-        made = self.fleet()
+        rig = self.fleet()
         for few, many in (([0, 1], [2, 3, 4]), ([3], [0, 1, 2, 4])):
-            made.happens(Fault(0, "cut", tuple(few)))
-            made.stood(few, "minority", "alone")
-            made.agree(many, "majority")  # they bury those who are cut off, and stand
-            made.happens(Fault(0, "heal"))
-            made.agree(range(5))
+            rig.inject(Fault(0, FaultKind.CUT, tuple(few)))
+            rig.wait_for_quorum_state(few, "minority", "alone")
+            rig.wait_for_agreement(many, "majority")  # they bury those who are cut off, and stand
+            rig.inject(Fault(0, FaultKind.HEAL))
+            rig.wait_for_agreement(range(5))
         for _ in range(6):
-            made.play([Fault(0.0, "cut", (0,)), Fault(0.5, "heal"), Fault(1.0, "heal")])
-        made.agree(range(5))
-        calls = self.judge(made, set())
-        refused = {call.broker for call in calls if call.reason in ("fleet-minority", "fleet-alone")}
+            rig.run_scenario(
+                [Fault(0.0, FaultKind.CUT, (0,)), Fault(0.5, FaultKind.HEAL), Fault(1.0, FaultKind.HEAL)]
+            )
+        rig.wait_for_agreement(range(5))
+        results = self.judge(rig, set())
+        refused = {result.broker for result in results if result.reason in ("fleet-minority", "fleet-alone")}
         self.assertTrue(refused & {0, 1, 3}, "those who were cut off promised nothing")
 
     def test_a_link_that_a_third_goes_round_and_one_whose_words_are_lost(self) -> None:
-        made = self.fleet()
+        rig = self.fleet()
         watcher = next(
-            at for at in range(1, 5) if made.name(at) in made.ask(0, "explain", name="n0")["watchers"]
+            at for at in range(1, 5) if rig.broker_name(at) in rig.query(0, "explain", name="n0")["watchers"]
         )
-        assert made.relays is not None
-        way = made.relays.ways[watcher, 0]
-        made.happens(Fault(0, "cut", (watcher,), (0,)))
+        assert rig.proxies is not None
+        way = rig.proxies.links[watcher, 0]
+        rig.inject(Fault(0, FaultKind.CUT, (watcher,), (0,)))
         before = way.dropped
-        made.until(lambda: way.dropped > before + 40, "pings are lost")
-        self.assertEqual(self.deaths(made), [])
-        made.happens(Fault(0, "heal"))
-        made.agree(range(5))
-        made.happens(Fault(0, "cut", (2,), both=False))  # it hears all, and nobody hears it
-        made.stood([2], "minority", "alone")
-        made.agree([0, 1, 3, 4], "majority")
-        made.happens(Fault(0, "heal"))
-        made.agree(range(5))
-        self.judge(made, set())
+        rig.wait_until(lambda: way.dropped > before + 40, "pings are lost")
+        self.assertEqual(self.deaths(rig), [])
+        rig.inject(Fault(0, FaultKind.HEAL))
+        rig.wait_for_agreement(range(5))
+        rig.inject(Fault(0, FaultKind.CUT, (2,), both_ways=False))  # it hears all, and nobody hears it
+        rig.wait_for_quorum_state([2], "minority", "alone")
+        rig.wait_for_agreement([0, 1, 3, 4], "majority")
+        rig.inject(Fault(0, FaultKind.HEAL))
+        rig.wait_for_agreement(range(5))
+        self.judge(rig, set())
 
     def test_two_fifths_lost_everywhere(self) -> None:
-        made = self.fleet()
-        assert made.relays is not None
-        ways = made.relays.ways.values()
-        made.happens(Fault(0, "loss", part=0.4))
-        made.until(lambda: sum(way.dropped for way in ways) > 700, "much is lost")
-        made.happens(Fault(0, "heal"))
-        made.agree(range(5))
-        self.judge(made, set())
+        rig = self.fleet()
+        assert rig.proxies is not None
+        ways = rig.proxies.links.values()
+        rig.inject(Fault(0, FaultKind.LOSS, amount=0.4))
+        rig.wait_until(lambda: sum(way.dropped for way in ways) > 700, "much is lost")
+        rig.inject(Fault(0, FaultKind.HEAL))
+        rig.wait_for_agreement(range(5))
+        self.judge(rig, set())
 
 
 class Processes(Case):
     def test_one_that_was_away_knows_it_before_it_promises_anything(self) -> None:
-        made = self.fleet()
-        made.stall(1)
-        made.agree([0, 2, 3, 4], "majority")
-        made.resume(1)
-        made.agree(range(5))
-        self.assertIn("msg=stalled", made.log(1))
+        rig = self.fleet()
+        rig.stall(1)
+        rig.wait_for_agreement([0, 2, 3, 4], "majority")
+        rig.resume(1)
+        rig.wait_for_agreement(range(5))
+        self.assertIn("msg=stalled", rig.broker_log(1))
         self.assertEqual(
-            [line for line in made.log(1).splitlines() if "state=dead" in line], [], "it accuses nobody"
+            [line for line in rig.broker_log(1).splitlines() if "state=dead" in line], [], "it accuses nobody"
         )
-        calls = [call for call in self.judge(made, {1}) if call.broker == 1 and call.paid]
-        waited = [call for call in calls if call.took_ms > 900]  # those that were sent while it stood still
+        results = [result for result in self.judge(rig, {1}) if result.broker == 1 and result.is_paid]
+        waited = [
+            result for result in results if result.took_ms > 900
+        ]  # those that were sent while it stood still
         self.assertTrue(waited)
         self.assertFalse(
-            [call for call in waited if call.status == 200], "nothing is promised on what it believed before"
+            [result for result in waited if result.status == 200],
+            "nothing is promised on what it believed before",
         )
 
     def test_one_that_is_slow_and_hears_nobody_buries_nobody(self) -> None:
-        made = self.fleet()
-        made.happens(Fault(0, "cut", (0, 1, 2, 3), (4,), both=False))  # all hear it
-        made.stood([4], "minority", "alone")
-        made.until(lambda: made.ask(4, "show")["counts"]["accusations"] >= 3, "it accuses the others")
-        made.happens(Fault(0, "heal"))
-        made.until(
-            lambda: made.ask(4, "show")["counts"]["false_accusations"] > 0, "it is told that they live"
+        rig = self.fleet()
+        rig.inject(Fault(0, FaultKind.CUT, (0, 1, 2, 3), (4,), both_ways=False))  # all hear it
+        rig.wait_for_quorum_state([4], "minority", "alone")
+        rig.wait_until(lambda: rig.query(4, "show")["counts"]["accusations"] >= 3, "it accuses the others")
+        rig.inject(Fault(0, FaultKind.HEAL))
+        rig.wait_until(
+            lambda: rig.query(4, "show")["counts"]["false_accusations"] > 0, "it is told that they live"
         )
         for _ in range(8):  # slow: it runs for a part of the time
-            made.play([Fault(0.0, "stall", (4,)), Fault(0.6, "resume", (4,)), Fault(0.8, "heal")])
-        made.agree(range(5))
+            rig.run_scenario(
+                [
+                    Fault(0.0, FaultKind.STALL, (4,)),
+                    Fault(0.6, FaultKind.RESUME, (4,)),
+                    Fault(0.8, FaultKind.HEAL),
+                ]
+            )
+        rig.wait_for_agreement(range(5))
         self.assertEqual(
             [
                 line
                 for at in range(4)
-                for line in made.log(at).splitlines()
+                for line in rig.broker_log(at).splitlines()
                 if re.search(r"member=n[0-3] state=dead", line)
             ],
             [],
         )
-        self.judge(made, {4})
+        self.judge(rig, {4})
 
     def test_killed_and_back_before_anyone_noticed_all_at_once_and_with_disks_lost(self) -> None:
-        made = self.fleet()
-        made.kill(3)
-        made.start(3)
-        made.agree(range(5))
+        rig = self.fleet()
+        rig.kill(3)
+        rig.start(3)
+        rig.wait_for_agreement(range(5))
         self.assertEqual(
             {
                 each["life"]
                 for at in range(5)
-                for each in made.ask(at, "show")["members"]
+                for each in rig.query(at, "show")["members"]
                 if each["member"] == "n3"
             },
             {2},
         )
         for at in range(5):
-            made.kill(at)
+            rig.kill(at)
         for at in range(5):
             if at % 2:
-                made.wipe(at)
-            made.launch(at)
-        made.agree(range(5))
+                rig.wipe_disk(at)
+            rig.launch(at)
+        rig.wait_for_agreement(range(5))
         for at in (0, 1, 2):  # all seeds
-            made.kill(at)
-        made.agree([3, 4], "minority")
-        made.kill(4)
-        made.launch(4)
-        made.agree([3, 4], "minority")
+            rig.kill(at)
+        rig.wait_for_agreement([3, 4], "minority")
+        rig.kill(4)
+        rig.launch(4)
+        rig.wait_for_agreement([3, 4], "minority")
         for at in (0, 1, 2):
-            made.launch(at)
-        made.agree(range(5))
-        self.judge(made, set(range(5)))
+            rig.launch(at)
+        rig.wait_for_agreement(range(5))
+        self.judge(rig, set(range(5)))
 
     def test_the_later_of_two_with_one_name_serves_paid_sessions_and_the_other_none(self) -> None:
-        made = self.fleet(6, names={5: "n2"}, later=1)
-        made.launch(5)
-        made.stood([2], "displaced")
-        made.stood([5], "whole")
-        self.assertIn('msg="displaced', made.log(2))
-        before = len(made.ran())
-        made.until(lambda: len(made.ran()) > before + 60, "set-ups run")
-        calls = self.judge(made, {5})
+        rig = self.fleet(6, name_overrides={5: "n2"}, late_brokers=1)
+        rig.launch(5)
+        rig.wait_for_quorum_state([2], "displaced")
+        rig.wait_for_quorum_state([5], "whole")
+        self.assertIn('msg="displaced', rig.broker_log(2))
+        before = len(rig.node_set_ups())
+        rig.wait_until(lambda: len(rig.node_set_ups()) > before + 60, "set-ups run")
+        results = self.judge(rig, {5})
         ends = {
-            at: max(call.asked_s for call in calls if call.broker == at and call.paid and call.status == 200)
+            at: max(
+                result.asked_s
+                for result in results
+                if result.broker == at and result.is_paid and result.status == 200
+            )
             for at in (2, 5)
         }
-        begin = min(call.asked_s for call in calls if call.broker == 5 and call.paid and call.status == 200)
+        begin = min(
+            result.asked_s
+            for result in results
+            if result.broker == 5 and result.is_paid and result.status == 200
+        )
         self.assertLess(ends[2], begin, "never both")
         self.assertTrue(
             [
-                call
-                for call in calls
-                if call.broker == 2 and not call.paid and call.asked_s > begin and call.status == 200
+                result
+                for result in results
+                if result.broker == 2
+                and not result.is_paid
+                and result.asked_s > begin
+                and result.status == 200
             ]
         )
 
 
 class Operators(Case):
-    def members(self, made: Fleet, *words: str) -> tuple[int, str]:
+    def members(self, rig: FleetRig, *words: str) -> tuple[int, str]:
         done = subprocess.run(
             [
                 sys.executable,
@@ -209,7 +236,7 @@
                 "members",
                 *words,
                 "--peers",
-                str(made.folder / "b0-peers.toml"),
+                str(rig.folder / "b0-peers.toml"),
             ],
             cwd=ROOT,
             capture_output=True,
@@ -219,29 +246,29 @@
         return done.returncode, done.stdout + done.stderr
 
     def test_show_explain_and_drain(self) -> None:
-        made = self.fleet(3)
-        code, text = self.members(made, "show")
+        rig = self.fleet(3)
+        code, text = self.members(rig, "show")
         self.assertEqual((code, len(re.findall(r"n\d +alive", text))), (0, 3), text)
         self.assertIn("standing=whole", text)
-        code, text = self.members(made, "explain", "n1")
+        code, text = self.members(rig, "explain", "n1")
         self.assertEqual(code, 0)
         self.assertRegex(text, "state: alive(.|\n)*watchers: n")
-        self.assertEqual(self.members(made, "explain", "nobody")[0], 2)
-        self.assertIn("no member is named 'nobody'", self.members(made, "explain", "nobody")[1])
-        code, text = self.members(made, "drain", "n2")
+        self.assertEqual(self.members(rig, "explain", "nobody")[0], 2)
+        self.assertIn("no member is named 'nobody'", self.members(rig, "explain", "nobody")[1])
+        code, text = self.members(rig, "drain", "n2")
         self.assertEqual((code, text), (0, "n2: left, by n0\n"))
-        made.agree([0, 1], "majority")
-        made.stood([2], "displaced")
-        self.assertIn("has left already", self.members(made, "drain", "n2")[1])
-        made.kill(1)  # gone for good: it no longer counts as missing once that was said
-        made.stood([0], "alone")
-        self.members(made, "drain", "n1")
-        made.kill(2)
-        made.start(2)
-        made.agree([0, 2], "majority")
-        made.kill(0)
-        self.assertIn("no answer from", self.members(made, "show")[1])
-        self.judge(made, {0, 1, 2})
+        rig.wait_for_agreement([0, 1], "majority")
+        rig.wait_for_quorum_state([2], "displaced")
+        self.assertIn("has left already", self.members(rig, "drain", "n2")[1])
+        rig.kill(1)  # gone for good: it no longer counts as missing once that was said
+        rig.wait_for_quorum_state([0], "alone")
+        self.members(rig, "drain", "n1")
+        rig.kill(2)
+        rig.start(2)
+        rig.wait_for_agreement([0, 2], "majority")
+        rig.kill(0)
+        self.assertIn("no answer from", self.members(rig, "show")[1])
+        self.judge(rig, {0, 1, 2})
 
 
 if __name__ == "__main__":
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,8 +10,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
+from lotuspick.lab.net.fault_scenario import (
+    Fault,
+    FaultKind,
+    FaultScenarioError,
+    parse_scenario,
+    recovery_faults,
+    to_toml,
+)
 from lotuspick.lab.net.fleet import Fleet
-from lotuspick.lab.net.story import KINDS, Fault, StoryFault, parse, rest, write
 from lotuspick.lab.net.world import Weather
 from lotuspick.membership.members import Members
 from lotuspick.membership.model import (
@@ -558,7 +565,7 @@
 FAULTS = st.builds(
     lambda at, do, one, other, both, part: (at, do, one, other, both, part),
     st.integers(0, 40),
-    st.sampled_from(KINDS),
+    st.sampled_from(list(FaultKind)),
     st.sets(st.integers(0, 2), min_size=1, max_size=2),
     st.sets(st.integers(0, 2), max_size=1),
     st.booleans(),
@@ -586,7 +593,7 @@
     """Whether all agree within the stated time after a story has ended."""
     made = Fleet(3, seed)
     made.agree_s()
-    made.play(story + rest(story, 8.0))
+    made.play(story + recovery_faults(story, 8.0))
     made.weather = Weather()
     return made.agree_s(6.0) < SETTLED_US / SECOND
 
@@ -596,7 +603,7 @@
     @given(st.lists(FAULTS, max_size=8), st.integers(1, 1 << 20))
     def test_all_agree_after_any_story(self, drawn: list[Any], seed: int) -> None:
         story = told(drawn)
-        note(write(story))  # the shortest one that fails, as it can be played again
+        note(to_toml(story))  # the shortest one that fails, as it can be played again
         self.assertTrue(settles(story, seed))
 
     def test_a_planted_fault_is_told_as_a_short_story_that_can_be_played_again(self) -> None:
@@ -609,7 +616,7 @@
                 )
             )
             self.assertLessEqual(len(found), 2)
-            again = parse(write(found), 3)
+            again = parse_scenario(to_toml(found), 3)
             self.assertEqual((again, settles(again)), (found, False))
         self.assertTrue(settles(again))
 
@@ -622,8 +629,8 @@
             ('[[fault]]\ndo = "cut"\nwho = 1', "who is not"),
             ('[[fault]]\ndo = "cut"\nat_s = "x"', "fault 1"),
         ):
-            with self.subTest(text), self.assertRaisesRegex(StoryFault, wanted):
-                parse(text, 3)
+            with self.subTest(text), self.assertRaisesRegex(FaultScenarioError, wanted):
+                parse_scenario(text, 3)
 
 
 AnyOrder.TestCase.settings = settings(max_examples=60, stateful_step_count=25, deadline=None)
