--- a/lotuspick/lab/experiment/trials.py
+++ b/lotuspick/lab/experiment/trials.py
@@ -14,7 +14,7 @@
 from lotuspick.lab.experiment.cost import cost
 from lotuspick.lab.fleet.trial import fleet
 from lotuspick.lab.load.trial import load
-from lotuspick.lab.net.fleet import membership
+from lotuspick.lab.net.trial import membership
 from lotuspick.lab.seats.cost import cost as seats_cost
 from lotuspick.lab.seats.trial import seats
 
--- a/lotuspick/lab/net/__init__.py
+++ b/lotuspick/lab/net/__init__.py
@@ -1,1 +1,7 @@
-"""A simulated network under the same steps that the daemon drives: by seed, the same each time."""
+"""A simulated network under the same state machines that the broker runs.
+
+The same seed gives the same run each time.
+
+``simulated_network`` has hosts, disks, links and time, ``simulated_fleet`` runs members of a fleet on it,
+``fault_scenario`` says which faults happen when, and ``trial`` is what the experiments run.
+"""
--- /dev/null
+++ b/lotuspick/lab/net/trial.py
@@ -0,0 +1,125 @@
+"""Trials of the membership on the simulated network: failure detection, loss, and fault scenarios."""
+
+from __future__ import annotations
+
+import statistics
+import sys
+
+from lotuspick.lab.net.fault_scenario import draw_scenario, recovery_faults, to_toml
+from lotuspick.lab.net.simulated_fleet import SECOND_US, MeteredFleet, SimulatedFleet
+from lotuspick.lab.net.simulated_network import MS_US, NetworkConditions
+from lotuspick.lab.trial_result import Parameters, TrialResult
+from lotuspick.membership.model import Changed, Displaced, State
+
+NEVER_S = 60.0
+"""Stands for a time that was not reached."""
+CONVERGENCE_LIMIT_S = 5.0
+"""After the last fault all views agree within this."""
+EQUAL_CLOCKS = (1.0,)
+DRIFTING_CLOCKS = (1.0, 1.0, 0.95, 1.05)
+QUIET_S, DETECTION_S = 3, 6
+STALL_PROBABILITY = 0.3
+STALL_US = (50 * MS_US, 999 * MS_US)
+LOSS_TRIAL_DUPLICATION = 0.02
+SCENARIO_DUPLICATIONS = (0.0, 0.1, 0.2)
+SECONDS_PER_HOUR = 3_600
+
+
+def membership(world: Parameters, arm: Parameters, seed: int) -> TrialResult:
+    """Run one trial.
+
+    Args:
+        world: Parameters of all arms.
+        arm: Parameters of this one. ``kind`` is ``death`` (one of ``brokers`` is killed: when all live
+            ones know), ``loss`` (``seconds`` at a share of messages lost, with stalls under a second: how
+            many live ones were declared dead), or ``faults`` (all faults at once for ``seconds``: how
+            long after the last one all agree). ``brokers`` and ``seconds`` are numbers, or the names of
+            numbers in the world.
+        seed: Of all random choices.
+    """
+    parameters = {**world, **arm}
+    kind = parameters["kind"]
+    count = _number(parameters, "brokers")
+    clock_rates = DRIFTING_CLOCKS if kind == "faults" else EQUAL_CLOCKS
+    fleet = (MeteredFleet if kind == "death" else SimulatedFleet)(count, seed, clock_rates=clock_rates)
+    joined_s = fleet.converge_s()
+    fleet.run(SECOND_US)
+    fleet.sent_count = 0
+    fleet.notifications.clear()
+    match kind:
+        case "death":
+            assert isinstance(fleet, MeteredFleet)
+            fleet.sent_bytes = 0
+            return _run_death_trial(fleet, joined_s)
+        case "loss":
+            return _run_loss_trial(fleet, float(parameters["loss"]), _number(parameters, "seconds"))
+        case _:
+            return _run_scenario_trial(fleet, int(parameters["seconds"]))
+
+
+def _number(parameters: Parameters, key: str) -> int:
+    """A parameter that is a number, or the name of another parameter that is."""
+    value = parameters[key]
+    return int(parameters.get(value, value))
+
+
+def _run_death_trial(fleet: MeteredFleet, joined_s: float) -> TrialResult:
+    """Kill one member after a quiet stretch in which messages are counted."""
+    count = len(fleet.names)
+    fleet.run(QUIET_S * SECOND_US)
+    messages = fleet.sent_count / QUIET_S / count
+    sent_bytes = fleet.sent_bytes / QUIET_S / count
+    victim = fleet.random.randrange(count)
+    fleet.crash(fleet.names[victim])
+    killed_s = fleet.now_us / SECOND_US
+    fleet.run(DETECTION_S * SECOND_US)
+    known_s = [at_s - killed_s for at_s, _ in fleet.deaths(f"b{victim}")]
+    all_know = len(known_s) == count - 1
+    figures = {
+        "joined_s": joined_s,
+        "messages": messages,
+        "bytes": sent_bytes,
+        "known_s": statistics.median(known_s) if known_s else NEVER_S,
+        "worst_s": max(known_s) if all_know else NEVER_S,
+        "wrong": float(len(fleet.deaths()) - len(known_s)),
+    }
+    return TrialResult(figures, {"known_s": known_s})
+
+
+def _run_loss_trial(fleet: SimulatedFleet, loss: float, seconds: int) -> TrialResult:
+    """Kill nobody. A member that is declared dead counts once, however many believe it."""
+    fleet.conditions.loss = loss
+    fleet.conditions.duplication = LOSS_TRIAL_DUPLICATION
+    for _ in range(seconds):
+        if fleet.random.random() < STALL_PROBABILITY:
+            fleet.stall(fleet.random.choice(fleet.names), fleet.random.randrange(*STALL_US))
+        fleet.run(SECOND_US)
+    dead = {
+        (change.record.process, change.record.refutation)
+        for _, change in fleet.notifications_of(Changed)
+        if change.record.state is State.DEAD
+    }
+    refuted = sum(host.machine.detector.false_suspicions for host in fleet.hosts.values())
+    figures = {
+        "hours": seconds * len(fleet.names) / SECONDS_PER_HOUR,
+        "deaths": float(len(dead)),
+        "refuted": float(refuted),
+    }
+    return TrialResult(figures, {})
+
+
+def _run_scenario_trial(fleet: SimulatedFleet, seconds: int) -> TrialResult:
+    """Play a drawn scenario with drifting clocks and duplicated messages, until all views agree.
+
+    A scenario after which they do not agree in time is printed on standard error.
+    """
+    fleet.conditions.duplication = fleet.random.choice(SCENARIO_DUPLICATIONS)
+    scenario = draw_scenario(fleet.random, len(fleet.names), seconds)
+    fleet.run_scenario(scenario + recovery_faults(scenario, seconds))
+    fleet.conditions = NetworkConditions()
+    took_s = fleet.converge_s()
+    if took_s > CONVERGENCE_LIMIT_S:
+        print(to_toml(scenario), file=sys.stderr)
+    displaced = len(fleet.notifications_of(Displaced))
+    figures = {"agree_s": min(took_s, NEVER_S), "displaced": float(displaced)}
+    return TrialResult(figures, {"agree_s": [took_s]})
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -18,8 +18,8 @@
     recovery_faults,
     to_toml,
 )
-from lotuspick.lab.net.fleet import Fleet
-from lotuspick.lab.net.world import Weather
+from lotuspick.lab.net.simulated_fleet import SimulatedFleet
+from lotuspick.lab.net.simulated_network import NetworkConditions
 from lotuspick.membership.members import Members
 from lotuspick.membership.model import (
     Ack,
@@ -55,10 +55,10 @@
 SETTLED_US = 5 * SECOND  # after the last fault all views agree within this
 
 
-def fleet(count: int = 5, seed: int = 1, **rules: int) -> Fleet:
-    made = Fleet(count, seed, **rules)
-    assert made.agree_s() < 5
-    made.told.clear()
+def fleet(count: int = 5, seed: int = 1, **rules: int) -> SimulatedFleet:
+    made = SimulatedFleet(count, seed, **rules)
+    assert made.converge_s() < 5
+    made.notifications.clear()
     return made
 
 
@@ -81,12 +81,12 @@
         for name in made.names[6:]:
             made.crash(name)
         made.run(12 * SECOND)
-        self.assertEqual(made.counts(), {6})
+        self.assertEqual(made.alive_counts(), {6})
         self.assertEqual(len(made.views()), 1)
 
     def test_no_live_one_is_declared_dead_at_a_quarter_lost_with_short_stalls(self) -> None:
         made = fleet(10, 3)
-        made.weather.loss = 0.25
+        made.conditions.loss = 0.25
         for _ in range(60):
             made.stall(made.random.choice(made.names), made.random.randrange(100_000, 990_000))
             made.run(SECOND)
@@ -95,7 +95,7 @@
 
     def test_a_third_lost_buries_nobody_on_the_word_of_others(self) -> None:
         made = fleet(40, 1)  # an accuser is sure by its own time alone, however long others have accused
-        made.weather.loss = 0.35
+        made.conditions.loss = 0.35
         for _ in range(60):
             made.stall(made.random.choice(made.names), made.random.randrange(100_000, 990_000))
             made.run(SECOND)
@@ -103,10 +103,10 @@
 
     def test_forty_percent_lost_everywhere_heals(self) -> None:
         made = fleet(7, 4)
-        made.weather.loss, made.weather.doubled = 0.4, 0.1
+        made.conditions.loss, made.conditions.duplication = 0.4, 0.1
         made.run(60 * SECOND)
-        made.weather.loss = 0.0
-        self.assertLess(made.agree_s(), 5)
+        made.conditions.loss = 0.0
+        self.assertLess(made.converge_s(), 5)
 
     def test_a_link_that_is_cut_between_two_is_gone_round(self) -> None:
         for both in (True, False):
@@ -120,38 +120,43 @@
         made.stall("h2", 3 * SECOND)
         made.run(4 * SECOND)
         self.assertEqual(
-            {news.record.name for _, news in made.news(Changed) if news.record.state is State.DEAD}, {"b2"}
+            {
+                news.record.name
+                for _, news in made.notifications_of(Changed)
+                if news.record.state is State.DEAD
+            },
+            {"b2"},
         )
-        self.assertEqual({host for host, _ in made.news(Stalled)}, {"h2"})
-        self.assertLess(made.agree_s(), 5)
+        self.assertEqual({host for host, _ in made.notifications_of(Stalled)}, {"h2"})
+        self.assertLess(made.converge_s(), 5)
 
     def test_one_whose_own_line_is_bad_buries_nobody(self) -> None:
         made = fleet(7, 6)
-        made.cut(made.names[1:], ["h0"], both=False)  # it hears nobody, and all hear it
+        made.cut(made.names[1:], ["h0"], both_ways=False)  # it hears nobody, and all hear it
         made.run(20 * SECOND)
         self.assertEqual(
             [host for _, host in made.deaths("b2", "b3", "b4", "b5", "b6", "b1") if host != "h0"], []
         )
         made.heal()
-        self.assertLess(made.agree_s(), 5)
+        self.assertLess(made.converge_s(), 5)
 
     def test_cuts_heal_and_flap(self) -> None:
         for count, apart in ((5, 2), (5, 1), (40, 13)):
             made = fleet(count, 7)
             made.cut(made.names[:apart], made.names[apart:])
             made.run(10 * SECOND)
-            self.assertEqual(made.reach(), {apart, count - apart})
+            self.assertEqual(made.reached_counts(), {apart, count - apart})
             self.assertEqual(
                 {len(made.hosts[name].machine.alive()) for name in made.names[apart:]}, {count - apart}
             )
             made.heal()
-            self.assertLess(made.agree_s(), 5)
+            self.assertLess(made.converge_s(), 5)
             for _ in range(10):
                 made.cut(made.names[:apart], made.names[apart:])
                 made.run(SECOND)
                 made.heal()
                 made.run(SECOND)
-            self.assertLess(made.agree_s(), 5)
+            self.assertLess(made.converge_s(), 5)
 
 
 class Planted(unittest.TestCase):
@@ -159,7 +164,7 @@
 
     def deaths(self, **rules: int) -> int:
         made = fleet(10, 3, **rules)
-        made.weather.loss = 0.25
+        made.conditions.loss = 0.25
         for _ in range(60):
             made.stall(made.random.choice(made.names), made.random.randrange(100_000, 990_000))
             made.run(SECOND)
@@ -196,7 +201,7 @@
             made = fleet(5, 8)
             made.crash("h4")
             made.start("h4", wipe=True)
-            made.agree_s()
+            made.converge_s()
             self.assertNotEqual({host.machine.records["b4"].incarnation for host in made.hosts.values()}, {2})
 
     def test_without_exchanges_halves_stay_apart(self) -> None:
@@ -205,7 +210,7 @@
             made.cut(made.names[:2], made.names[2:])
             made.run(10 * SECOND)
             made.heal()
-            self.assertEqual(made.agree_s(), float("inf"))
+            self.assertEqual(made.converge_s(), float("inf"))
 
 
 class Returns(unittest.TestCase):
@@ -217,11 +222,11 @@
                     made.crash("h4")
                     made.run(int(away_s * SECOND))
                     made.start("h4", wipe)
-                    self.assertLess(made.agree_s(), 5)
+                    self.assertLess(made.converge_s(), 5)
                     self.assertEqual(
                         {host.machine.records["b4"].incarnation for host in made.hosts.values()}, {2}
                     )
-                    self.assertEqual(made.news(Displaced), [])
+                    self.assertEqual(made.notifications_of(Displaced), [])
 
     def test_all_at_once_wiped(self) -> None:
         made = fleet(7, 9)
@@ -229,38 +234,38 @@
             made.crash(name)
         for name in made.names:
             made.start(name, wipe=True)
-        self.assertLess(made.agree_s(), 5)
+        self.assertLess(made.converge_s(), 5)
 
     def test_the_later_of_two_with_one_name_stands_and_the_other_stops(self) -> None:
         made = fleet(5, 10)
         made.add("x", Members, [CommandReceived(Begin("b2", "x", ("h0",)))])
         made.start("x")
         made.run(2 * SECOND)
-        self.assertEqual({host for host, _ in made.news(Displaced)}, {"h2"})
+        self.assertEqual({host for host, _ in made.notifications_of(Displaced)}, {"h2"})
         self.assertEqual({host.machine.records["b2"].address for host in made.hosts.values()}, {"x"})
-        sent = made.sent
+        sent = made.sent_count
         made.crash("h0"), made.crash("h1"), made.crash("h3"), made.crash("h4"), made.crash("x")
         made.run(2 * SECOND)
-        self.assertEqual(made.sent, sent)  # the one that was displaced says nothing more
+        self.assertEqual(made.sent_count, sent)  # the one that was displaced says nothing more
 
     def test_seeds_that_are_dead_are_found_later(self) -> None:
-        made = Fleet(5, 11)
+        made = SimulatedFleet(5, 11)
         for name in made.names[:3]:
             made.crash(name)
         made.run(4 * SECOND)
         for name in made.names[:3]:
             made.start(name)
-        self.assertLess(made.agree_s(), 5)
+        self.assertLess(made.converge_s(), 5)
 
     def test_one_that_leaves_is_gone_and_no_death(self) -> None:
         made = fleet(5, 12)
-        made.ask("h3", CommandReceived(Leave()))
+        made.deliver("h3", CommandReceived(Leave()))
         made.run(3 * SECOND)
         self.assertEqual(made.deaths(), [])
         self.assertEqual({host.machine.records["b3"].state for host in made.hosts.values()}, {State.LEFT})
         made.crash("h3")
         made.start("h3")
-        self.assertLess(made.agree_s(), 5)
+        self.assertLess(made.converge_s(), 5)
 
     def test_the_graveyard_is_bounded(self) -> None:
         made = fleet(3, 13, max_tombstones=4)
@@ -268,7 +273,7 @@
             made.add(f"t{at}", Members, [CommandReceived(Begin(f"temp{at}", f"t{at}", ("h0",)))])
             made.start(f"t{at}")
             made.run(SECOND)
-            made.ask(f"t{at}", CommandReceived(Leave()))
+            made.deliver(f"t{at}", CommandReceived(Leave()))
             made.run(SECOND)
             made.crash(f"t{at}")
         self.assertLessEqual(max(len(made.hosts[name].machine.records) for name in made.names), 3 + 4)
@@ -279,14 +284,14 @@
             for name in made.names[4:]:
                 made.crash(name)
             made.run(8 * SECOND)
-            self.assertEqual(made.counts(), {4})
+            self.assertEqual(made.alive_counts(), {4})
 
     def test_who_nobody_knows_accuses_nobody(self) -> None:
         made = fleet(3, 15)
         members = made.hosts["h0"].machine
         of = members.records["b1"]
         for at in range(50):
-            made.ask(
+            made.deliver(
                 "h0",
                 MessageReceived(
                     "h9",
@@ -307,29 +312,29 @@
         rates = []
         for count in (10, 40):
             made = fleet(count, 14)
-            before = made.sent
+            before = made.sent_count
             made.run(5 * SECOND)
-            rates.append((made.sent - before) / 5 / count)
+            rates.append((made.sent_count - before) / 5 / count)
         self.assertLess(rates[1], 1.2 * rates[0])
 
 
 class Disagreement(unittest.TestCase):
     """What each may do while they disagree, followed ten times a second."""
 
-    def follow(self, made: Fleet, us: int) -> dict[str, list[QuorumState]]:
+    def follow(self, made: SimulatedFleet, us: int) -> dict[str, list[QuorumState]]:
         seen: dict[str, list[QuorumState]] = {name: [] for name in made.names}
         for _ in range(us // 100_000):
             made.run(100_000)
-            for host in made.taking_part():
-                while self.told < len(made.told):
-                    _, where, news = made.told[self.told]
+            for host in made.participants():
+                while self.told < len(made.notifications):
+                    _, where, news = made.notifications[self.told]
                     self.told += 1
                     if isinstance(news, Stalled):
                         self.standings[where].stalled(made.now_us)
                 seen[host.name].append(self.standings[host.name].observe(made.now_us, host.machine))
         return seen
 
-    def begin(self, count: int, seed: int) -> Fleet:
+    def begin(self, count: int, seed: int) -> SimulatedFleet:
         made = fleet(count, seed)
         self.told = 0
         self.standings = {name: QuorumTracker(QuorumRules(count)) for name in made.names}
@@ -338,8 +343,8 @@
         self.assertEqual({seen[-1] for seen in first.values()}, {QuorumState.WHOLE})
         return made
 
-    def paid(self, made: Fleet) -> set[str]:
-        return {host.name for host in made.taking_part() if self.standings[host.name].may("paid")}
+    def paid(self, made: SimulatedFleet) -> set[str]:
+        return {host.name for host in made.participants() if self.standings[host.name].may("paid")}
 
     def test_one_side_of_a_cut_at_most_makes_paid_promises(self) -> None:
         for count, apart, both in ((5, 2, True), (5, 1, True), (4, 2, True), (5, 2, False), (7, 3, True)):
@@ -493,7 +498,7 @@
 
     @initialize(seed=st.integers(0, 1 << 20), count=st.integers(2, 5))
     def begin(self, seed: int, count: int) -> None:
-        self.made = Fleet(count, seed, Weather(doubled=0.1))
+        self.made = SimulatedFleet(count, seed, NetworkConditions(duplication=0.1))
         self.ranks: dict[tuple[str, int, str], Any] = {}
 
     def name(self, at: int) -> str:
@@ -516,7 +521,7 @@
     @rule(at=st.integers(0, 4))
     def leave(self, at: int) -> None:
         if self.made.hosts[self.name(at)].up:
-            self.made.ask(self.name(at), CommandReceived(Leave()))
+            self.made.deliver(self.name(at), CommandReceived(Leave()))
 
     @rule(sides=st.integers(0, 31), both=st.booleans())
     def cut(self, sides: int, both: bool) -> None:
@@ -530,7 +535,7 @@
     @rule(loss=st.sampled_from([0.0, 0.1, 0.4]))
     def heal(self, loss: float) -> None:
         self.made.heal()
-        self.made.weather.loss = loss
+        self.made.conditions.loss = loss
 
     @rule(ms=st.integers(1, 4_000))
     def time(self, ms: int) -> None:
@@ -550,16 +555,16 @@
             return
         made = self.made
         made.heal()
-        made.weather.loss = 0.0
+        made.conditions.loss = 0.0
         for host in made.hosts.values():
             made.resume(host.name)
             if host.up and (host.machine.left or host.machine.displaced):
                 made.crash(host.name)
             if not host.up:
                 made.start(host.name)
-        took_s = made.agree_s()
+        took_s = made.converge_s()
         assert took_s < 8, took_s
-        assert not made.news(Displaced), "there never were two of one name"
+        assert not made.notifications_of(Displaced), "there never were two of one name"
 
 
 FAULTS = st.builds(
@@ -591,11 +596,11 @@
 
 def settles(story: list[Fault], seed: int = 1) -> bool:
     """Whether all agree within the stated time after a story has ended."""
-    made = Fleet(3, seed)
-    made.agree_s()
-    made.play(story + recovery_faults(story, 8.0))
-    made.weather = Weather()
-    return made.agree_s(6.0) < SETTLED_US / SECOND
+    made = SimulatedFleet(3, seed)
+    made.converge_s()
+    made.run_scenario(story + recovery_faults(story, 8.0))
+    made.conditions = NetworkConditions()
+    return made.converge_s(6.0) < SETTLED_US / SECOND
 
 
 class Stories(unittest.TestCase):
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -15,7 +15,7 @@
 from scenario import ROOT
 from twisted.internet.task import Clock
 
-from lotuspick.lab.net.world import World
+from lotuspick.lab.net.simulated_network import SimulatedNetwork
 from lotuspick.state_machine import (
     CommandReceived,
     Effect,
@@ -131,29 +131,29 @@
 
 class Simulated(Drive):
     def __init__(self) -> None:
-        self.world, self.machine = World(3), Scripted()
-        self.world.add("h", lambda: self.machine, [])
-        self.world.add("other", Scripted, [])
-        self.world.start("other")
-        self.world.start("h")
+        self.network, self.machine = SimulatedNetwork(3), Scripted()
+        self.network.add("h", lambda: self.machine, [])
+        self.network.add("other", Scripted, [])
+        self.network.start("other")
+        self.network.start("h")
 
     @property
     def out(self) -> list[Any]:  # type: ignore[override]
         sent = [
             SendMessage("other", event.message)
-            for _, event in self.world.hosts["other"].machine.seen
+            for _, event in self.network.hosts["other"].machine.seen
             if isinstance(event, MessageReceived)
         ]
-        return [Notify(news) for _, host, news in self.world.told if host == "h"] + sent
+        return [Notify(news) for _, host, news in self.network.notifications if host == "h"] + sent
 
     def ask(self, what: str) -> None:
-        self.world.ask("h", CommandReceived(what))
+        self.network.deliver("h", CommandReceived(what))
 
     def pass_s(self, seconds: float) -> None:
-        self.world.run(int(seconds * SECOND))
+        self.network.run(int(seconds * SECOND))
 
     def lasting(self) -> dict[str, bytes]:
-        return self.world.hosts["h"].disk
+        return self.network.hosts["h"].disk
 
 
 def words(out: Sequence[Any]) -> list[Any]:
@@ -241,15 +241,15 @@
     def test_a_killed_process_may_keep_more_than_it_was_told_and_never_less(self) -> None:
         kept = set()
         for seed in range(40):
-            world = World(seed)
-            world.add("h", Scripted, [])
-            world.start("h")
+            network = SimulatedNetwork(seed)
+            network.add("h", Scripted, [])
+            network.start("h")
             for _ in range(5):
-                world.ask("h", CommandReceived("promise"))
-                world.run(random.Random(seed).randrange(6_000))
-            told = sum(str(news).startswith("after") for _, _, news in world.told)
-            world.crash("h")
-            last = int(world.hosts["h"].disk.get("k", b"0"))
+                network.deliver("h", CommandReceived("promise"))
+                network.run(random.Random(seed).randrange(6_000))
+            told = sum(str(news).startswith("after") for _, _, news in network.notifications)
+            network.crash("h")
+            last = int(network.hosts["h"].disk.get("k", b"0"))
             self.assertGreaterEqual(last, told)
             kept.add(last - told)
         self.assertGreater(len(kept), 1)
