--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -92,7 +92,7 @@
             [
                 sys.executable,
                 "-m",
-                "lotuspick.lab.seats.nodes",
+                "lotuspick.lab.seats.fake_nodes",
                 str(NODES),
                 str(seed),
                 f"{folder}/ran.log",
--- a/lotuspick/lab/errors.py
+++ b/lotuspick/lab/errors.py
@@ -32,3 +32,19 @@
     def __init__(self, attempts: int) -> None:
         super().__init__(f"no port is free for TCP and UDP alike, after {attempts} attempts")
         self.attempts = attempts
+
+
+class ProcessFailedError(LabError):
+    """A child process ended with an error."""
+
+    def __init__(self, what: str, output: str = "") -> None:
+        super().__init__(f"{what} failed" + (f": {output}" if output else ""))
+        self.what = what
+        self.output = output
+
+
+class SettlementMismatchError(LabError):
+    """Ledgers settle differently in another order, or a second time."""
+
+    def __init__(self) -> None:
+        super().__init__("ledgers settle differently in another order, or a second time")
--- a/lotuspick/lab/fleet/broker_rig.py
+++ b/lotuspick/lab/fleet/broker_rig.py
@@ -83,7 +83,7 @@
     def _start_nodes(self, count: int, faults: Mapping[str, float]) -> list[int]:
         """Start the media nodes; returns their ports."""
         nodes = self.start_process(
-            "lotuspick.lab.seats.nodes",
+            "lotuspick.lab.seats.fake_nodes",
             str(count),
             str(self.seed),
             str(self.node_log),
--- a/lotuspick/lab/seats/audit.py
+++ b/lotuspick/lab/seats/audit.py
@@ -1,65 +1,106 @@
-"""The auditor: reads what the stand-in nodes ran, and the seats that count once all ledgers are settled. It asks no
-broker and shares no code with the ledger."""
+"""The auditor: compares what the fake nodes ran with the seats that count once all ledgers are settled.
+
+It asks no broker and shares no code with the ledger.
+"""
 
 from __future__ import annotations
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from itertools import pairwise
+
+WORDS_PER_LINE = 5
+RAN, OVER = "ran", "over"
+HANDOVER_S = 3.0
+"""A viewer that changes brokers may play twice for so long."""
 
 
 @dataclass(slots=True)
-class Findings:
-    """What is wrong, by seat."""
+class AuditFindings:
+    """What was found; lists name seats."""
 
-    ran: int = 0
+    seats_run: int = 0
     """Seats of which a set-up ran."""
     set_ups: int = 0
     """Set-ups that ran; more than seats where viewers came again."""
-    twice: list[str] = field(default_factory=list)
+    double_counts: list[str] = field(default_factory=list)
     """Counted more than once."""
-    phantom: list[str] = field(default_factory=list)
+    phantom_counts: list[str] = field(default_factory=list)
     """Counted, and nothing of them ran."""
-    missed: list[str] = field(default_factory=list)
-    """Something of them ran, and they are neither counted nor named as in doubt."""
-    doubted: int = 0
-    """In doubt, and rightly: something ran of which no broker heard."""
-    at_once: int = 0
-    """Seats that played twice at once for longer than a viewer's change takes."""
+    missed_counts: list[str] = field(default_factory=list)
+    """Something of them ran, and they are neither counted nor named as indeterminate."""
+    indeterminate: int = 0
+    """Indeterminate, and rightly: something ran of which no broker heard."""
+    concurrent: int = 0
+    """Seats that played twice at once for longer than a handover takes."""
+
+
+@dataclass(slots=True)
+class PlayTime:
+    """When one session played, in Unix seconds."""
+
+    began_s: float
+    ended_s: float = float("inf")
+
+
+PlayTimes = dict[str, dict[str, PlayTime]]
+"""By seat and session."""
 
 
 def audit(
-    runs: Iterable[str], counted: Iterable[str], doubted: Iterable[str], change_s: float = 3.0
-) -> Findings:
-    """``runs``: lines of nodes' logs, ``ran|over SESSION SEAT NODE TIME``; ``counted``, ``doubted``: seats."""
-    sessions: dict[str, set[str]] = defaultdict(set)
-    spans: dict[str, dict[str, list[float]]] = defaultdict(dict)
-    for line in runs:
-        words = line.split()
-        if len(words) != 5:
-            continue  # a line cut off when its node was stopped
-        what, session, seat, _, at = words
-        if what == "ran":
-            sessions[seat].add(session)
-            spans[seat][session] = [float(at), float("inf")]
-        elif session in spans[seat]:
-            spans[seat][session][1] = float(at)
-    times, open_ = Counter(counted), set(doubted)
-    found = Findings(ran=len(sessions), set_ups=sum(len(each) for each in sessions.values()))
-    for seat, each in times.items():
-        if each > 1:
-            found.twice.append(seat)
-        if seat not in sessions:
-            found.phantom.append(seat)
-    for seat in sessions:
-        if seat not in times:
-            if seat in open_:
-                found.doubted += 1
+    node_log: Iterable[str],
+    counted: Iterable[str],
+    indeterminate: Iterable[str],
+    handover_s: float = HANDOVER_S,
+) -> AuditFindings:
+    """Judge the settled ledgers by what ran.
+
+    Args:
+        node_log: Lines of the nodes' logs, ``ran|over SESSION SEAT NODE TIME``.
+        counted: Seats that are counted, as often as they are.
+        indeterminate: Seats of which the ledgers do not know whether they were used.
+        handover_s: For so long may a seat play twice.
+    """
+    play_times = read_play_times(node_log)
+    times_counted, known_indeterminate = Counter(counted), set(indeterminate)
+    findings = AuditFindings(
+        seats_run=len(play_times), set_ups=sum(len(sessions) for sessions in play_times.values())
+    )
+    for seat, times in times_counted.items():
+        if times > 1:
+            findings.double_counts.append(seat)
+        if seat not in play_times:
+            findings.phantom_counts.append(seat)
+    for seat, sessions in play_times.items():
+        if seat not in times_counted:
+            if seat in known_indeterminate:
+                findings.indeterminate += 1
             else:
-                found.missed.append(seat)
-        if len(spans[seat]) > 1:
-            ordered = sorted(spans[seat].values())
-            found.at_once += any(
-                min(before[1], after[1]) - after[0] > change_s for before, after in zip(ordered, ordered[1:])
-            )
-    return found
+                findings.missed_counts.append(seat)
+        findings.concurrent += _overlaps(list(sessions.values()), handover_s)
+    return findings
+
+
+def read_play_times(node_log: Iterable[str]) -> PlayTimes:
+    """When each session of each seat played; a line cut off when its node was stopped is skipped."""
+    play_times: PlayTimes = defaultdict(dict)
+    for line in node_log:
+        words = line.split()
+        if len(words) != WORDS_PER_LINE:
+            continue
+        event, session, seat, _, at_s = words
+        if event == RAN:
+            play_times[seat][session] = PlayTime(float(at_s))
+        elif session in play_times.get(seat, {}):
+            play_times[seat][session].ended_s = float(at_s)
+    return play_times
+
+
+def _overlaps(play_times: list[PlayTime], handover_s: float) -> bool:
+    """Whether two sessions that follow one another overlap for longer than a handover takes."""
+    ordered = sorted(play_times, key=lambda each: (each.began_s, each.ended_s))
+    return any(
+        min(former.ended_s, latter.ended_s) - latter.began_s > handover_s
+        for former, latter in pairwise(ordered)
+    )
--- a/lotuspick/lab/seats/cost.py
+++ b/lotuspick/lab/seats/cost.py
@@ -1,140 +1,179 @@
-"""What seats cost: a token's check with its ledger write on a real disk, the same broker with seats and without at one
-rate, and how long a broker with many seats takes to start."""
+"""What seats cost.
+
+A token's check with its ledger write on a real disk, one broker at a rate with seats and without, and how
+long a broker with many seats takes to start.
+"""
 
 from __future__ import annotations
 
 import statistics
 import tempfile
 import time
+from functools import partial
 from pathlib import Path
-from typing import Any
+from typing import NamedTuple
 
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
 from lotuspick.entitlement.ledger import Ledger, Record, State
 from lotuspick.entitlement.model import Seat
 from lotuspick.entitlement.tokens import PublicKey, TokenVerifier, sign
+from lotuspick.lab.fleet.site_settings import PAID_CLASS
 from lotuspick.lab.seats import trial
+from lotuspick.lab.seats.seats_rig import AUDIENCE
+from lotuspick.lab.trial_result import Parameters, TrialResult
 from lotuspick.transport.storage.durable_store import GroupCommit
 from lotuspick.transport.storage.seat_store import SeatStore
 
-Found = tuple[dict[str, float], dict[str, list[float]]]
 BATCH = 20_000
-
-
-def cost(told: dict[str, Any], arm: dict[str, Any], seed: int) -> Found:
-    """``kind``: ``write`` (checks and writes in this process), ``broker`` (one real broker at a rate, with seats or
-    without) or ``recovery`` (of a store with many seats)."""
-    told = {**told, **arm}
-    match told["kind"]:
+RECOVERY_STORE_MIB = 4_096
+INDETERMINATE_EVERY = 100
+"""One seat in so many is reserved and not settled."""
+KEY_ID = "k"
+US_PER_S = 1e6
+QUIET_BROKER = {
+    "brokers": 1,
+    "nodes": 12,
+    "clients": 1,
+    "kill_s": 0,
+    "clocks": False,
+    "faults": False,
+    "http": 0.0,
+}
+"""Parameters of one broker without any faults."""
+
+
+class Latency(NamedTuple):
+    """Of a sample, in its own unit."""
+
+    median: float
+    p99: float
+
+    @classmethod
+    def of(cls, sample: list[float]) -> Latency:
+        """The quantiles of a sample."""
+        return cls(statistics.median(sample), statistics.quantiles(sample, n=100)[98])
+
+
+def cost(world: Parameters, arm: Parameters, seed: int) -> TrialResult:
+    """Run one trial.
+
+    Args:
+        world: Parameters of all arms.
+        arm: Parameters of this one. ``kind`` is ``write`` (checks and writes in this process), ``broker``
+            (one real broker at a rate, with seats or without) or ``recovery`` (of a store with many
+            seats).
+        seed: Of all random choices.
+    """
+    parameters = {**world, **arm}
+    match parameters["kind"]:
         case "write":
-            return write(told["rate"], told["sessions"])
+            return _run_write_trial(parameters["rate"], parameters["sessions"])
         case "recovery":
-            return recovery(told["seats_kept"])
+            return _run_recovery_trial(parameters["seats_kept"])
         case _:
-            return broker(told, seed)
+            return _run_broker_trial(parameters, seed)
 
 
-def quantiles(values: list[float]) -> tuple[float, float]:
-    """Median and 99th percentile."""
-    cuts = statistics.quantiles(values, n=100)
-    return statistics.median(values), cuts[98]
+def _run_write_trial(rate: float, count: int) -> TrialResult:
+    """Check tokens at a steady rate, whatever the disk does.
 
-
-def write(rate: float, count: int) -> Found:
-    """Checks come at a steady rate, whatever the disk does; each is timed from when it should have begun until its
-    reservation lasts. The commits run on their own thread, as in a broker."""
+    Each is timed from when it should have begun until its reservation is on disk. The commits run on
+    their own thread, as in a broker.
+    """
     key, now_s = Ed25519PrivateKey.generate(), int(time.time())
-    checker = TokenVerifier("site", {"k": PublicKey("k", key.public_key())})
-    tokens = [
-        sign(Seat(f"s{at}", "v", "law", "aa00", "exam", now_s, now_s, now_s + 9_000), "site", "k", key)
-        for at in range(count)
-    ]
-    ledger, checks, lasts = Ledger(), list[float](), [0.0] * count
+    verifier = TokenVerifier(AUDIENCE, {KEY_ID: PublicKey(KEY_ID, key.public_key())})
+    tokens = [_sign(f"s{number}", now_s, key) for number in range(count)]
+    ledger = Ledger()
+    checks_us: list[float] = []
+    writes_us = [0.0] * count
     with tempfile.TemporaryDirectory(dir=".") as name:
         store = SeatStore(Path(name, "seats"))
         commits = GroupCommit(store)
-        began = time.perf_counter()
-        for at, token in enumerate(tokens):
-            due = began + at / rate
-            while (wait_s := due - time.perf_counter()) > 0:
-                time.sleep(wait_s)
-            start = time.perf_counter()
-            seat = checker.verify(token, now_s)
-            record = ledger.reserve(now_s, seat.seat, f"q{at}", seat.viewer, seat.epoch, seat.ends_s)[1]
-            assert record is not None
-            checks.append((time.perf_counter() - start) * 1e6)
-
-            def done(fault: str, at: int = at, due: float = due) -> None:
-                lasts[at] = (time.perf_counter() - due) * 1e6
 
-            commits.submit(record, done)
+        def written(number: int, due_s: float, _: object) -> None:
+            writes_us[number] = (time.perf_counter() - due_s) * US_PER_S
+
+        began_s = time.perf_counter()
+        for number, token in enumerate(tokens):
+            due_s = began_s + number / rate
+            _sleep_until(due_s)
+            check_began_s = time.perf_counter()
+            seat = verifier.verify(token, now_s)
+            session = f"q{number}"
+            record = ledger.reserve(now_s, seat.seat, session, seat.viewer, seat.epoch, seat.ends_s)[1]
+            assert record is not None
+            checks_us.append((time.perf_counter() - check_began_s) * US_PER_S)
+            commits.submit(record, partial(written, number, due_s))
         commits.close()
         store.close()
-    (check, check_99), (last, last_99) = quantiles(checks), quantiles(lasts)
-    return {
-        "check_us": check,
-        "check_p99_us": check_99,
-        "write_us": last,
-        "write_p99_us": last_99,
+    check, write = Latency.of(checks_us), Latency.of(writes_us)
+    figures = {
+        "check_us": check.median,
+        "check_p99_us": check.p99,
+        "write_us": write.median,
+        "write_p99_us": write.p99,
         "commits": commits.commits,
-    }, {}
+    }
+    return TrialResult(figures, {})
+
+
+def _sign(seat: str, now_s: int, key: Ed25519PrivateKey) -> str:
+    entitlement = Seat(seat, "v", "law", "aa00", PAID_CLASS, now_s, now_s, now_s + 9_000)
+    return sign(entitlement, AUDIENCE, KEY_ID, key)
 
 
-def recovery(count: int) -> Found:
-    """Seconds until a ledger of so many seats is there again, a part of them in doubt."""
+def _sleep_until(due_s: float) -> None:
+    while (wait_s := due_s - time.perf_counter()) > 0:
+        time.sleep(wait_s)
+
+
+def _run_recovery_trial(count: int) -> TrialResult:
+    """Seconds until a ledger of so many seats is restored, a part of them indeterminate."""
     with tempfile.TemporaryDirectory(dir=".") as name:
-        store = SeatStore(Path(name, "seats"), 4_096)
+        path = Path(name, "seats")
+        store = SeatStore(path, RECOVERY_STORE_MIB)
         for first in range(0, count, BATCH):
-            store.write(
-                [
-                    Record(
-                        f"1-{at}",
-                        State.RESERVED if at % 100 == 0 else State.RELEASED,
-                        f"{at:016x}",
-                        f"{at:016x}",
-                        0,
-                        1_800_000_000,
-                        3,
-                        at % 100 != 0,
-                        1_799_000_000,
-                        1_799_000_060,
-                    )
-                    for at in range(first, min(count, first + BATCH))
-                ]
-            )
+            store.write([_record(number) for number in range(first, min(count, first + BATCH))])
         store.close()
-        began = time.perf_counter()
-        store, ledger = SeatStore(Path(name, "seats"), 4_096), Ledger()
+        began_s = time.perf_counter()
+        store, ledger = SeatStore(path, RECOVERY_STORE_MIB), Ledger()
         store.write(ledger.restore(store.load()))
-        took_s = time.perf_counter() - began
+        took_s = time.perf_counter() - began_s
         store.close()
     assert len(ledger.records) == count
-    assert ledger.indeterminate_count == len(range(0, count, 100))
-    return {"recovered_s": took_s}, {}
+    assert ledger.indeterminate_count == len(range(0, count, INDETERMINATE_EVERY))
+    return TrialResult({"recovered_s": took_s}, {})
+
+
+def _record(number: int) -> Record:
+    """The record of a seat that was used, or that is reserved."""
+    is_settled = number % INDETERMINATE_EVERY != 0
+    return Record(
+        seat=f"1-{number}",
+        state=State.RELEASED if is_settled else State.RESERVED,
+        session=f"{number:016x}",
+        viewer=f"{number:016x}",
+        epoch=0,
+        ends_s=1_800_000_000,
+        changes=3,
+        counted=is_settled,
+        from_s=1_799_000_000,
+        until_s=1_799_000_060,
+    )
 
 
-def broker(told: dict[str, Any], seed: int) -> Found:
-    """One broker without any faults at a rate of paid set-ups."""
-    row, samples = trial.seats(
+def _run_broker_trial(parameters: Parameters, seed: int) -> TrialResult:
+    """One broker without any faults, at a rate of paid set-ups."""
+    result = trial.seats({**QUIET_BROKER, **parameters}, {}, seed)
+    figures, took_ms = result.figures, Latency.of(result.samples["took_ms"])
+    return TrialResult(
         {
-            "brokers": 1,
-            "nodes": 12,
-            "clients": 1,
-            "kill_s": 0,
-            "clocks": False,
-            "faults": False,
-            "http": 0.0,
-            **told,
+            "cpu_us": figures["cpu_s"] / figures["viewers"] * US_PER_S,
+            "took_ms": took_ms.median,
+            "took_p99_ms": took_ms.p99,
+            "never_served": figures["never_served"],
+            "sustained": figures["viewers"] / figures["seconds"],
         },
         {},
-        seed,
     )
-    took, took_99 = quantiles(samples["took_ms"])
-    return {
-        "cpu_us": row["cpu_s"] / row["viewers"] * 1e6,
-        "took_ms": took,
-        "took_p99_ms": took_99,
-        "never_served": row["never_served"],
-        "sustained": row["viewers"] / row["seconds"],
-    }, {}
--- /dev/null
+++ b/lotuspick/lab/seats/settlement.py
@@ -0,0 +1,72 @@
+"""Settles ledgers by the operators' command ``lotuspick seats settle``."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass, field
+from pathlib import Path
+
+from lotuspick.lab.errors import ProcessFailedError, SettlementMismatchError
+
+
+@dataclass(slots=True)
+class Settlement:
+    """What the command says, by seat."""
+
+    counted: list[str]
+    indeterminate: list[str] = field(default_factory=list)
+    conflicts: list[str] = field(default_factory=list)
+
+
+def settle(into: Path, stores: Sequence[str]) -> Settlement:
+    """Settle ledgers.
+
+    Args:
+        into: The file that the merged ledger is written to.
+        stores: ``NAME=FOLDER`` of each broker.
+
+    Raises:
+        ProcessFailedError: The command failed.
+    """
+    counted_file = into.with_suffix(".seats")
+    arguments = ["seats", "settle", *stores, "--into", str(into), "--counted", str(counted_file)]
+    completed = subprocess.run(
+        [sys.executable, "-m", "lotuspick", *arguments], capture_output=True, text=True, check=False
+    )
+    if completed.returncode:
+        raise ProcessFailedError("seats settle", completed.stderr)
+    settlement = Settlement(counted_file.read_text().split())
+    for line in completed.stdout.splitlines():
+        match line.split(" ", 1)[0]:
+            case "doubt":
+                settlement.indeterminate.append(_seat(line))
+            case "conflict":
+                settlement.conflicts.append(_seat(line))
+    return settlement
+
+
+def _seat(line: str) -> str:
+    return line.partition("seat=")[2].split(" ")[0]
+
+
+def settle_in_any_order(folder: Path, stores: Mapping[str, Path]) -> Settlement:
+    """Settle ledgers forwards, backwards, and forwards again; the results must not differ.
+
+    Args:
+        folder: Where the merged ledgers are written.
+        stores: Ledger of each broker, by its name.
+
+    Raises:
+        SettlementMismatchError: The results differ.
+        ProcessFailedError: The command failed.
+    """
+    order = [f"{name}={store}" for name, store in stores.items()]
+    forwards, backwards = folder / "settled0.jsonl", folder / "settled1.jsonl"
+    settlement = settle(forwards, order)
+    settle(backwards, order[::-1])
+    repeated = settle(forwards, order)
+    if forwards.read_bytes() != backwards.read_bytes() or repeated != settlement:
+        raise SettlementMismatchError
+    return settlement
--- a/lotuspick/lab/seats/trial.py
+++ b/lotuspick/lab/seats/trial.py
@@ -1,243 +1,240 @@
-"""One run of seats under faults: starts nodes, brokers and viewers, kills brokers and sets their clocks while it goes
-on, settles what the brokers wrote, and has it audited."""
+"""One run of seats under faults.
+
+It starts nodes, brokers and viewers, kills brokers and sets their clocks meanwhile, settles what the
+brokers wrote, and has it audited.
+"""
 
 from __future__ import annotations
 
 import json
 import os
 import random
-import signal
 import subprocess
-import sys
 import tempfile
 import time
 from collections import Counter
+from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
 
-from lotuspick.lab.fleet.broker_rig import BrokerRig
-from lotuspick.lab.fleet.reserved_port import ReservedPort
+import msgspec
+
+from lotuspick.lab.errors import ProcessFailedError
 from lotuspick.lab.processes import processor_time_s
 from lotuspick.lab.seats.audit import audit
-from lotuspick.lab.seats.nodes import FAULTS
-from lotuspick.transport.storage.key_folder import KeyFolder
+from lotuspick.lab.seats.seats_rig import SeatsParameters, SeatsRig
+from lotuspick.lab.seats.settlement import settle_in_any_order
+from lotuspick.lab.seats.viewers import SEAT_IN_DOUBT, SessionEnd, ViewerReport, ViewersJob
+from lotuspick.lab.trial_result import Figures, Parameters, TrialResult
+
+KEEP_VARIABLE = "LOTUSPICK_KEEP"
+"""Environment variable that names a folder in which logs and events are left."""
+CLOCK_OFFSETS_S = (-30.0, 3_600.0, 0.0)
+"""To these the brokers' clocks are set one after another, over the run."""
+CONNECTIONS = 8
+POLL_S = 0.2
+RESTART_S = (0.2, 1.0)
+KILL_SPREAD = (0.7, 1.3)
+SAMPLE_LIMIT = 5_000
+
+
+def seats(world: Parameters, arm: Parameters, seed: int) -> TrialResult:
+    """Run one trial; :class:`SeatsParameters` says what it takes.
+
+    Returns:
+        Counts of seats; times in milliseconds. Where ``LOTUSPICK_KEEP`` names a folder, brokers' logs and
+        all that viewers met are left there.
+    """
+    parameters = SeatsParameters.from_mapping({**world, **arm})
+    with tempfile.TemporaryDirectory() as name:
+        rig = SeatsRig(Path(name), parameters, seed)
+        try:
+            return _run(rig, parameters, seed)
+        finally:
+            rig.close()
+
+
+def _run(rig: SeatsRig, parameters: SeatsParameters, seed: int) -> TrialResult:
+    processor_before_s = _processor_time_s(rig)
+    began_s = time.monotonic()
+    viewers = _start_viewers(rig, parameters, seed)
+    disturbances = Disturbances(rig, parameters, random.Random(f"faults {seed}"), began_s)
+    while any(process.poll() is None for process in viewers):
+        time.sleep(POLL_S)
+        disturbances.advance()
+    took_s = time.monotonic() - began_s
+    if any(process.returncode for process in viewers):
+        raise ProcessFailedError("viewers")
+    processor_s = _processor_time_s(rig) - processor_before_s  # of no use where brokers were killed
+    rig.close()  # brokers write what is pending, nodes what they ran
+    viewings = ViewingTotals.read([_viewer_log(rig, part) for part in range(parameters.clients)])
+    figures: Figures = {
+        **viewings.attendance(),
+        "kills": disturbances.kills,
+        "clock_steps": disturbances.clock_steps,
+        "seconds": took_s,
+        **viewings.incidents(),
+        **(_audit_figures(rig, parameters) if parameters.seats else {}),
+    }
+    _keep_logs(rig, viewings, figures)
+    samples = viewings.took_ms[:: max(1, len(viewings.took_ms) // SAMPLE_LIMIT)]
+    return TrialResult({**figures, "cpu_s": processor_s}, {"took_ms": samples})
 
 
-class Fleet(BrokerRig):
-    """Brokers with seats, an HTTP front, and clocks that can be set."""
+def _processor_time_s(rig: SeatsRig) -> float:
+    return sum(processor_time_s(process.pid) for process in rig.brokers.values())
 
-    broker_module = "lotuspick.lab.seats.broker"
 
-    def __init__(self, folder: Path, told: dict[str, Any], seed: int) -> None:
-        self.told = told
-        self.http = [ReservedPort() for _ in range(told["brokers"])]
-        faults = FAULTS if told.get("faults", True) else {}
-        super().__init__(folder, told["brokers"], told["nodes"], seed, node_faults=faults)
-        self.listens = [(port.number, http.number) for port, http in zip(self.rtsp_ports, self.http)]
+def _viewer_log(rig: SeatsRig, part: int) -> Path:
+    return rig.folder / f"viewers{part}.log"
 
-    def prepare(self) -> None:
-        KeyFolder(self.folder / "keys").make(int(time.time()) - 10, 600)
 
-    def configure_broker(self, at: int) -> None:
-        super().configure_broker(at)
-        (self.folder / f"b{at}-hints.toml").write_text(
-            f'enabled = true\nlisten = "127.0.0.1:{self.http[at].number}"\n'
-        )
-        (self.folder / f"b{at}-seats.toml").write_text(
-            f'enabled = {str(bool(self.told.get("seats", True))).lower()}\naudience = "site"\nkeys = "keys"\n'
-            f'store = "store{at}"\nstore_mib = 2048\n'
+def _start_viewers(rig: SeatsRig, parameters: SeatsParameters, seed: int) -> list[subprocess.Popen[str]]:
+    processes = []
+    for part in range(parameters.clients):
+        job = ViewersJob(
+            part=part,
+            seed=seed,
+            sessions=parameters.sessions // parameters.clients,
+            rate=parameters.rate / parameters.clients,
+            brokers=rig.viewer_ports,
+            nodes=parameters.nodes,
+            keys=str(rig.key_folder),
+            http=parameters.http,
+            connections=CONNECTIONS,
+            log=str(_viewer_log(rig, part)),
         )
+        job_file = rig.folder / f"job{part}.json"
+        job_file.write_bytes(msgspec.json.encode(job))
+        processes.append(rig.start_process("lotuspick.lab.seats.viewers", str(job_file)))
+    return processes
+
+
+class Disturbances:
+    """Kills brokers at random times and sets all clocks at even ones, while viewers come."""
+
+    def __init__(
+        self, rig: SeatsRig, parameters: SeatsParameters, random_source: random.Random, began_s: float
+    ) -> None:
+        self.kills = 0
+        self.clock_steps = 0
+        self._rig = rig
+        self._parameters = parameters
+        self._random = random_source
+        self._began_s = began_s
+        self._next_kill_s = parameters.kill_s or float("inf")
+        self._clock_offsets_s = CLOCK_OFFSETS_S if parameters.clocks else ()
+
+    def advance(self) -> None:
+        """Do what is due."""
+        elapsed_s = self._elapsed_s()
+        if self._next_kill_s < elapsed_s < self._parameters.duration_s:
+            self._restart_any_broker()
+        if self.clock_steps < len(self._clock_offsets_s):
+            part = (self.clock_steps + 1) / (len(self._clock_offsets_s) + 1)
+            if elapsed_s > self._parameters.duration_s * part:
+                self._step_clocks()
+
+    def _elapsed_s(self) -> float:
+        return time.monotonic() - self._began_s
+
+    def _restart_any_broker(self) -> None:
+        broker = self._random.randrange(self._parameters.brokers)
+        self._rig.kill(broker)
+        time.sleep(self._random.uniform(*RESTART_S))
+        self._rig.start(broker)
+        self.kills += 1
+        pause_s = self._parameters.kill_s * self._random.uniform(*KILL_SPREAD)
+        self._next_kill_s = self._elapsed_s() + pause_s
+
+    def _step_clocks(self) -> None:
+        for broker in range(self._parameters.brokers):
+            self._rig.set_clock_offset(broker, self._clock_offsets_s[self.clock_steps])
+        self.clock_steps += 1
+
+
+@dataclass(slots=True)
+class ViewingTotals:
+    """What all viewers met."""
+
+    viewers: int = 0
+    events: Counter[str] = field(default_factory=Counter)
+    never_served: Counter[str] = field(default_factory=Counter)
+    """Viewers that were never served, by what they met most."""
+    took_ms: list[float] = field(default_factory=list)
+    """Of those that were served."""
+
+    @classmethod
+    def read(cls, logs: list[Path]) -> ViewingTotals:
+        """Read the viewers' logs."""
+        totals = cls()
+        for log in logs:
+            for line in log.read_text().splitlines():
+                totals.add(ViewerReport.parse(line))
+        return totals
+
+    def add(self, report: ViewerReport) -> None:
+        """Count one viewer."""
+        self.viewers += 1
+        self.events += report.events
+        if not report.plays:
+            events = report.events
+            self.never_served[max(events, key=lambda name: events[name], default="nothing")] += 1
+        elif report.took_ms >= 0:
+            self.took_ms.append(report.took_ms)
+
+    def attendance(self) -> Figures:
+        """How many viewers came, and how many were served."""
+        never_served = self.never_served.total()
+        return {
+            "viewers": self.viewers,
+            "served": self.viewers - never_served,
+            "never_served": never_served,
+        }
 
-    def broker_command(self, at: int) -> list[str]:
-        module, *rest = super().broker_command(at)
-        return [module, str(self.folder / f"b{at}-clock"), *rest]
-
-    def broker_options(self, at: int) -> list[str]:
-        return [
-            "--hints",
-            str(self.folder / f"b{at}-hints.toml"),
-            "--seats",
-            str(self.folder / f"b{at}-seats.toml"),
-        ]
-
-    def step_clock(self, at: int, off_s: float) -> None:
-        (self.folder / f"b{at}-clock").write_text(str(off_s))
-        self.brokers[at].send_signal(signal.SIGUSR1)
-
-    def close(self) -> None:
-        super().close()
-        for port in self.http:
-            port.close()
-
-
-def seats(
-    told: dict[str, Any], arm: dict[str, Any], seed: int
-) -> tuple[dict[str, float], dict[str, list[float]]]:
-    """Play one run. ``told``: sessions, rate (a second, all viewers together), brokers, nodes, clients, kill_s (between
-    kills; 0: none) and clocks (whether they are set). The figures are counts of seats, but for times in ms. Where
-    ``LOTUSPICK_KEEP`` names a folder, brokers' logs and all that viewers met are left there."""
-    told = {**told, **arm}
-    with tempfile.TemporaryDirectory() as name:
-        folder = Path(name)
-        fleet = Fleet(folder, told, seed)
-        try:
-            return play(fleet, folder, told, seed)
-        finally:
-            fleet.close()
-
-
-def play(
-    fleet: Fleet, folder: Path, told: dict[str, Any], seed: int
-) -> tuple[dict[str, float], dict[str, list[float]]]:
-    """The run itself, and what was found."""
-    draw, clients, viewers = random.Random(f"faults {seed}"), told["clients"], []
-    before_s = sum(processor_time_s(each.pid) for each in fleet.brokers.values())
-    began = time.monotonic()
-    for part in range(clients):
-        job = folder / f"job{part}.json"
-        job.write_text(
-            json.dumps(
-                {
-                    "part": part,
-                    "seed": seed,
-                    "sessions": told["sessions"] // clients,
-                    "rate": told["rate"] / clients,
-                    "brokers": fleet.listens,
-                    "nodes": told["nodes"],
-                    "keys": str(folder / "keys"),
-                    "http": told.get("http", 0.05),
-                    "connections": 8,
-                    "log": str(folder / f"viewers{part}.log"),
-                }
-            )
-        )
-        viewers.append(fleet.start_process("lotuspick.lab.seats.viewers", str(job)))
-    steps = [-30.0, 3_600.0, 0.0] if told.get("clocks", True) else []
-    kills, next_s, stepped = 0, float(told.get("kill_s", 0)) or float("inf"), 0
-    length_s = told["sessions"] / told["rate"]
-    while any(each.poll() is None for each in viewers):
-        time.sleep(0.2)
-        at_s = time.monotonic() - began
-        if at_s > next_s and at_s < length_s:
-            at = draw.randrange(told["brokers"])
-            fleet.kill(at)
-            time.sleep(draw.uniform(0.2, 1.0))
-            fleet.start(at)
-            kills, next_s = kills + 1, time.monotonic() - began + told["kill_s"] * draw.uniform(0.7, 1.3)
-        if stepped < len(steps) and at_s > length_s * (stepped + 1) / (len(steps) + 1):
-            for at in range(told["brokers"]):
-                fleet.step_clock(at, steps[stepped])
-            stepped += 1
-    took_s = time.monotonic() - began
-    if any(each.returncode for each in viewers):
-        raise RuntimeError("viewers failed")
-    cpu_s = (
-        sum(processor_time_s(each.pid) for each in fleet.brokers.values()) - before_s
-    )  # of no use where some were killed
-    fleet.close()  # brokers write what waits, nodes what they ran
-    row, samples = judge(folder, told, kills, stepped, took_s)
-    return {**row, "cpu_s": cpu_s}, samples
-
-
-def judge(
-    folder: Path, told: dict[str, Any], kills: int, stepped: int, took_s: float
-) -> tuple[dict[str, float], dict[str, list[float]]]:
-    """Settle the ledgers by the command, twice and in another order, and audit what came out."""
-    met: Counter[str] = Counter()
-    never, answered, took = Counter[str](), 0, list[float]()
-    for part in range(told["clients"]):
-        for line in (folder / f"viewers{part}.log").read_text().splitlines():
-            _, plays, took_ms, words = line.split(" ", 3)
-            pairs = [pair.rpartition(":") for pair in words.split(",")] if words != "-" else []
-            for reason, _, times in pairs:
-                met[reason] += int(times)
-            answered += 1
-            if plays == "0":
-                never[max(pairs, key=lambda each: int(each[2]))[0] if pairs else "nothing"] += 1
-            elif float(took_ms) >= 0:
-                took.append(float(took_ms))
-    row: dict[str, float] = {
-        "viewers": answered,
-        "served": answered - sum(never.values()),
-        "never_served": sum(never.values()),
-        "kills": kills,
-        "clock_steps": stepped,
-        "seconds": took_s,
-    }
-    # A replay is not a good session: its refusals are meant.
-    refused = sum(times for reason, times in met.items() if reason.startswith("token-"))
-    replays = sum(times for reason, times in met.items() if reason.startswith("replay-"))
-    row |= {
-        "refused_good": refused,
-        "waits": met["seat-in-doubt"],
-        "in_use": met["seat-in-use"],
-        "failed": met["Internal-Server-Error"],
-        "cut": met["cut"],
-        "lost": met["lost"],
-        "renewed": met["renewed"],
-        "replays": replays,
-        "replays_served": met["replay-200"],
-    }
-    if told.get("seats", True):
-        stores = [f"n{at}={folder / f'store{at}'}" for at in range(told["brokers"])]
-        settled = [
-            settle(folder / f"settled{turn}.jsonl", order)
-            for turn, order in enumerate((stores, stores[::-1]))
-        ]
-        again = settle(folder / "settled0.jsonl", stores)
-        if (
-            len({(folder / f"settled{turn}.jsonl").read_bytes() for turn in range(2)}) != 1
-            or again != settled[0]
-        ):
-            raise RuntimeError("ledgers settle differently in another order, or a second time")
-        said = settled[0]
-        with (folder / "ran.log").open() as runs:
-            found = audit(runs, said["counted"], said["doubt"])
-        row |= {
-            "ran": found.ran,
-            "set_ups": found.set_ups,
-            "double_counts": len(found.twice),
-            "phantom_counts": len(found.phantom),
-            "missed_counts": len(found.missed),
-            "in_doubt": found.doubted,
-            "at_once": found.at_once,
-            "conflicts": len(said["conflict"]),
+    def incidents(self) -> Figures:
+        """What viewers met. A replay is not a good session: its rejections are meant."""
+        return {
+            "refused_good": self._count_prefix("token-"),
+            "waits": self.events[SEAT_IN_DOUBT],
+            "in_use": self.events["seat-in-use"],
+            "failed": self.events["Internal-Server-Error"],
+            "cut": self.events[SessionEnd.CUT],
+            "lost": self.events["lost"],
+            "renewed": self.events["renewed"],
+            "replays": self._count_prefix("replay-"),
+            "replays_served": self.events["replay-200"],
         }
-    keep = os.environ.get("LOTUSPICK_KEEP")
-    if keep:
-        Path(keep).mkdir(parents=True, exist_ok=True)
-        (Path(keep) / "met.json").write_text(
-            json.dumps({"met": met, "never": never, "row": row}, indent=1) + "\n"
-        )
-        for log in folder.glob("b*.log"):
-            (Path(keep) / log.name).write_text(log.read_text())
-    return row, {"took_ms": took[:: max(1, len(took) // 5_000)]}
-
-
-def settle(into: Path, stores: list[str]) -> dict[str, list[str]]:
-    """What ``lotuspick seats settle`` says: seats that are counted, in doubt, in conflict."""
-    listed = into.with_suffix(".seats")
-    done = subprocess.run(
-        [
-            sys.executable,
-            "-m",
-            "lotuspick",
-            "seats",
-            "settle",
-            *stores,
-            "--into",
-            str(into),
-            "--counted",
-            str(listed),
-        ],
-        capture_output=True,
-        text=True,
-    )
-    if done.returncode:
-        raise RuntimeError(done.stderr)
-    found: dict[str, list[str]] = {"counted": listed.read_text().split(), "doubt": [], "conflict": []}
-    for line in done.stdout.splitlines():
-        word = line.split(" ", 1)[0]
-        if word in found:
-            found[word].append(line.partition("seat=")[2].split(" ")[0])
-    return found
+
+    def _count_prefix(self, prefix: str) -> int:
+        return sum(times for name, times in self.events.items() if name.startswith(prefix))
+
+
+def _audit_figures(rig: SeatsRig, parameters: SeatsParameters) -> Figures:
+    """Settle the ledgers and audit what came out."""
+    stores = {f"n{broker}": rig.ledger_store(broker) for broker in range(parameters.brokers)}
+    settlement = settle_in_any_order(rig.folder, stores)
+    with rig.node_log.open() as node_log:
+        findings = audit(node_log, settlement.counted, settlement.indeterminate)
+    return {
+        "ran": findings.seats_run,
+        "set_ups": findings.set_ups,
+        "double_counts": len(findings.double_counts),
+        "phantom_counts": len(findings.phantom_counts),
+        "missed_counts": len(findings.missed_counts),
+        "in_doubt": findings.indeterminate,
+        "at_once": findings.concurrent,
+        "conflicts": len(settlement.conflicts),
+    }
+
+
+def _keep_logs(rig: SeatsRig, viewings: ViewingTotals, figures: Figures) -> None:
+    """Leave logs and events in the folder that the environment names, if it does."""
+    name = os.environ.get(KEEP_VARIABLE)
+    if not name:
+        return
+    folder = Path(name)
+    folder.mkdir(parents=True, exist_ok=True)
+    summary = {"met": viewings.events, "never": viewings.never_served, "row": figures}
+    (folder / "met.json").write_text(json.dumps(summary, indent=1) + "\n")
+    for log in rig.folder.glob("b*.log"):
+        (folder / log.name).write_text(log.read_text())
--- a/lotuspick/lab/seats/viewers.py
+++ b/lotuspick/lab/seats/viewers.py
@@ -1,236 +1,334 @@
-"""Stand-in viewers with good tokens: ``python -m lotuspick.lab.seats.viewers JOB``, a JSON file. They come at a stated
-rate whatever the brokers do, come again after refusals, failures and breaks, at the same broker or another of their
-building, renew while they play, and write one line each of what they met."""
+"""Viewers with good tokens: ``python -m lotuspick.lab.seats.viewers JOB``, where ``JOB`` is a JSON file.
+
+They arrive at a stated rate whatever the brokers do, come again after rejections, failures and
+interruptions, at the same broker or another of their building, renew while they play, and log one line
+each (:class:`ViewerReport`).
+"""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import random
 import sys
 import time
 from collections import Counter
+from enum import StrEnum
 from pathlib import Path
-from typing import Any
+from typing import NamedTuple, TextIO
+
+import msgspec
 
 from lotuspick.entitlement.model import Seat
 from lotuspick.entitlement.tokens import sign
-from lotuspick.lab.rtsp import ANSWER_TIMEOUT_S, LOST, RtspAnswer, RtspConnection
+from lotuspick.lab.fleet.site_settings import PAID_CLASS
+from lotuspick.lab.rtsp import ANSWER_TIMEOUT_S, LOST, STATUS_OK, RtspAnswer, RtspConnection
+from lotuspick.lab.seats.broker_client import BrokerClient, connect_rtsp, send_http_request
+from lotuspick.lab.seats.seats_rig import AUDIENCE
 from lotuspick.transport.storage.key_folder import KeyFolder
 
-TRIES, LEFT_MS = 40, 3_000
+MAX_ATTEMPTS = 40
+TIME_LEFT_MS = 3_000
+TENANT, TITLE = "law", "aa00"
+TOKEN_LIFETIME_S = 9_000
+LEAST_PAUSE_MS = 200
+PAUSE_SPREAD = (1.0, 1.5)
+PLAY_S = (0.1, 1.0)
+ABORT_AFTER_S = (0.0, 0.03)
+CHANGE_BROKER_PROBABILITY = 0.5
+ABORT_PROBABILITY = 0.003
+RENEWAL_PROBABILITY = 0.05
+SECOND_RENEWAL_PROBABILITY = 0.2
+REPLAY_PROBABILITY = 0.02
+FIRST_RENEWAL_CSEQ = 7
+DOUBTS_PER_TOKEN = 2
+"""After so many rejections of a seat in doubt its portal signs anew."""
+SEAT_IN_DOUBT = "seat-in-doubt"
+SENDS_PER_YIELD = 50
+STATUS_NO_CONTENT = 204
+
+
+class SessionEnd(StrEnum):
+    """How a session ended that played."""
+
+    LEFT = "left"
+    CUT = "cut"
+    """The broker ended it, or its connection was lost."""
+    LOST = "lost"
+    """It was lost with its broker, who may not know of it."""
+
+
+class SessionResult(NamedTuple):
+    """What became of one attempt of a viewer."""
+
+    answer: RtspAnswer
+    end: SessionEnd | None = None
+    """None where it did not play."""
+
 
+LOST_ATTEMPT = SessionResult(LOST)
+PLAYED = RtspAnswer(STATUS_OK, "", 0)
 
-class Broker:
-    """The way to one broker: a few connections, made again when they are lost."""
 
-    def __init__(self, port: int, http: int) -> None:
-        self.port, self.http = port, http
-        self.open: dict[int, RtspConnection] = {}
-        self.locks: dict[int, asyncio.Lock] = {}
+class ViewersJob(msgspec.Struct, frozen=True):
+    """What the process is asked to do."""
 
-    async def connection(self, at: int) -> RtspConnection | None:
-        made = self.open.get(at)
-        if made is not None and made.connected:
-            return made
-        async with self.locks.setdefault(at, asyncio.Lock()):
-            made = self.open.get(at)
-            if made is not None and made.connected:
-                return made
-            try:
-                _, made = await asyncio.get_running_loop().create_connection(
-                    RtspConnection, "127.0.0.1", self.port
-                )
-            except OSError:
-                return None
-            self.open[at] = made
-            return made
+    part: int
+    """Which of several such processes it is."""
+    seed: int
+    sessions: int
+    """How many viewers arrive."""
+    rate: float
+    """Viewers a second."""
+    brokers: list[tuple[int, int]]
+    """RTSP and HTTP ports."""
+    nodes: int
+    """Positions on which titles lie."""
+    keys: str
+    """Folder of the keys by which tokens are signed."""
+    http: float
+    """Share of the sessions that come over HTTP."""
+    connections: int
+    """Shared RTSP connections to each broker."""
+    log: str
 
 
-class Crowd:
-    """All viewers of one process."""
+class ViewerReport(NamedTuple):
+    """What one viewer met."""
 
-    def __init__(self, job: dict[str, Any]) -> None:
+    seat: str
+    plays: int
+    """How often it was served."""
+    took_ms: float
+    """From its arrival until it was served first; negative: never."""
+    events: Counter[str]
+    """Reasons of rejections, interruptions, renewals and replays."""
+
+    def to_line(self) -> str:
+        """The line of the log."""
+        events = ",".join(f"{name}:{times}" for name, times in sorted(self.events.items())) or "-"
+        return f"{self.seat} {self.plays} {self.took_ms:.1f} {events}\n"
+
+    @classmethod
+    def parse(cls, line: str) -> ViewerReport:
+        """Read a line of the log."""
+        seat, plays, took_ms, words = line.rstrip("\n").split(" ", 3)
+        events: Counter[str] = Counter()
+        for pair in words.split(",") if words != "-" else []:
+            name, _, times = pair.rpartition(":")
+            events[name] += int(times)
+        return cls(seat, int(plays), float(took_ms), events)
+
+
+class ViewerPopulation:
+    """All viewers of one process.
+
+    Buildings have half of the brokers each; a viewer stays in its building.
+    """
+
+    def __init__(self, job: ViewersJob, log: TextIO) -> None:
         self.job = job
-        self.draw = random.Random(f"viewers {job['seed']} {job['part']}")
-        self.brokers = [Broker(*ports) for ports in job["brokers"]]
-        self.half = max(1, len(self.brokers) // 2)
-        folder = KeyFolder(Path(job["keys"]))
-        self.kid = next(iter(folder.load()))
-        self.key = folder.private(self.kid)
-        self.sessions = 0
-        self.sink = open(job["log"], "w", encoding="ascii")  # noqa: SIM115
-
-    def token(self, seat: str, viewer: str, epoch: int, now_s: int) -> str:
-        made = Seat(seat, viewer, "law", "aa00", "exam", now_s, now_s, now_s + 9_000, epoch)
-        return sign(made, "site", self.kid, self.key)
-
-    def session(self) -> str:
-        self.sessions += 1
-        return f"{self.job['part'] + 1:04x}{self.sessions:012x}"
-
-    def broker(self, building: int) -> Broker:
-        return self.brokers[building * self.half + self.draw.randrange(self.half)]
+        self.random = random.Random(f"viewers {job.seed} {job.part}")
+        self._log = log
+        self._brokers = [BrokerClient(rtsp_port, http_port) for rtsp_port, http_port in job.brokers]
+        self._building_size = max(1, len(self._brokers) // 2)
+        keys = KeyFolder(Path(job.keys))
+        self._key_id = next(iter(keys.load()))
+        self._private_key = keys.private(self._key_id)
+        self._session_count = 0
 
     async def run(self) -> None:
-        began, rate, count = time.monotonic(), self.job["rate"], self.job["sessions"]
-        tasks: set[asyncio.Task[None]] = set()
-        for at in range(count):
-            wait_s = began + at / rate - time.monotonic()
+        """Have all viewers arrive in time and wait until they have ended."""
+        began_s = time.monotonic()
+        viewers: set[asyncio.Task[None]] = set()
+        for number in range(self.job.sessions):
+            wait_s = began_s + number / self.job.rate - time.monotonic()
             if wait_s > 0:
                 await asyncio.sleep(wait_s)
-            elif at % 50 == 0:
-                await asyncio.sleep(0)
-            task = asyncio.create_task(self.viewer(at))
-            tasks.add(task)
-            task.add_done_callback(tasks.discard)
-        while tasks:
-            await asyncio.wait(list(tasks))
-        self.sink.close()
-
-    async def viewer(self, number: int) -> None:
-        draw, seat = self.draw, f"{self.job['part']}-{number}"
-        viewer = f"{self.job['part']:04x}{number:012x}"
-        building = draw.randrange(len(self.brokers) // self.half)
-        epoch, waits, token = 0, 0, self.token(seat, viewer, 0, int(time.time()))
-        met: Counter[str] = Counter()
-        took_ms, plays, again, ended, broker = -1.0, 0, False, "", self.broker(building)
-        began = time.monotonic()
-        for _ in range(TRIES):
-            status, reason, gap_ms, ended = await self.once(broker, token, viewer, seat, again, met, epoch)
-            if status == 200:
-                plays += 1
-                if took_ms < 0:
-                    took_ms = (time.monotonic() - began) * 1_000
-                if ended != "cut":
-                    break
-                met["cut"] += 1
-            else:
-                met[reason.replace(" ", "-")] += 1
-            waits += reason == "seat-in-doubt"
-            if reason == "seat-in-doubt" and waits % 2 == 0:  # its portal signs anew
-                epoch += 1
-                token = self.token(seat, viewer, epoch, int(time.time()))
-            again = True
-            await asyncio.sleep(max(gap_ms, 200) / 1_000 * draw.uniform(1.0, 1.5))
-            if draw.random() < 0.5:
-                broker = self.broker(building)
-        if (
-            plays and ended == "left" and draw.random() < 0.02
-        ):  # the same token once more, where its session has ended
-            status, reason, _, _ = await self.once(broker, token, viewer, seat, False, met, epoch)
-            met[f"replay-{status}"] += 1
-        told = ",".join(f"{name}:{times}" for name, times in sorted(met.items())) or "-"
-        self.sink.write(f"{seat} {plays} {took_ms:.1f} {told}\n")
-
-    async def once(
-        self, broker: Broker, token: str, viewer: str, seat: str, again: bool, met: Counter[str], epoch: int
-    ) -> tuple[int, str, int, str]:
-        """One session: its answer, and how it ended where it played."""
-        draw, session = self.draw, self.session()
-        path = f"home:{draw.randrange(self.job['nodes'])};copies:3;top:2;viewer:{viewer}{';again:1' if again else ''}"
+            elif number % SENDS_PER_YIELD == 0:
+                await asyncio.sleep(0)  # behind: answers must be read all the same
+            viewer = asyncio.create_task(self._run_viewer(number))
+            viewers.add(viewer)
+            viewer.add_done_callback(viewers.discard)
+        while viewers:
+            await asyncio.wait(list(viewers))
+
+    async def _run_viewer(self, number: int) -> None:
+        report = await Viewer(self, number).run()
+        self._log.write(report.to_line())
+
+    def sign_token(self, seat: str, viewer: str, epoch: int) -> str:
+        """A good token, valid from now on."""
+        now_s = int(time.time())
+        entitlement = Seat(
+            seat, viewer, TENANT, TITLE, PAID_CLASS, now_s, now_s, now_s + TOKEN_LIFETIME_S, epoch
+        )
+        return sign(entitlement, AUDIENCE, self._key_id, self._private_key)
+
+    def new_session(self) -> str:
+        """The id of another session."""
+        self._session_count += 1
+        return f"{self.job.part + 1:04x}{self._session_count:012x}"
+
+    def choose_building(self) -> int:
+        """Any building."""
+        return self.random.randrange(len(self._brokers) // self._building_size)
+
+    def choose_broker(self, building: int) -> BrokerClient:
+        """Any broker of a building."""
+        return self._brokers[building * self._building_size + self.random.randrange(self._building_size)]
+
+
+class Viewer:
+    """One viewer, with one seat, from its arrival until it has played or has given up."""
+
+    def __init__(self, population: ViewerPopulation, number: int) -> None:
+        job = population.job
+        self._population = population
+        self._job = job
+        self._random = population.random
+        self._seat = f"{job.part}-{number}"
+        self._name = f"{job.part:04x}{number:012x}"
+        self._building = population.choose_building()
+        self._epoch = 0
+        self._token = population.sign_token(self._seat, self._name, self._epoch)
+        self._broker = population.choose_broker(self._building)
+        self._events: Counter[str] = Counter()
+        self._plays = 0
+        self._took_ms = -1.0
+
+    async def run(self) -> ViewerReport:
+        """Come until the session has played to its end, or attempts are used up."""
+        began_s = time.monotonic()
+        result = LOST_ATTEMPT
+        for attempt in range(MAX_ATTEMPTS):
+            result = await self._attempt(returned=attempt > 0)
+            self._record(result, began_s)
+            if result.end in (SessionEnd.LEFT, SessionEnd.LOST):
+                break
+            self._renew_doubted_token(result.answer.reason)
+            pause_ms = max(result.answer.retry_after_ms, LEAST_PAUSE_MS)
+            await asyncio.sleep(pause_ms / 1_000 * self._random.uniform(*PAUSE_SPREAD))
+            if self._random.random() < CHANGE_BROKER_PROBABILITY:
+                self._broker = self._population.choose_broker(self._building)
+        if result.end is SessionEnd.LEFT and self._random.random() < REPLAY_PROBABILITY:
+            replay = await self._attempt(returned=False)  # the same token, after its session has ended
+            self._events[f"replay-{replay.answer.status}"] += 1
+        return ViewerReport(self._seat, self._plays, self._took_ms, self._events)
+
+    def _record(self, result: SessionResult, began_s: float) -> None:
+        if result.answer.status != STATUS_OK:
+            self._events[result.answer.reason.replace(" ", "-")] += 1
+            return
+        self._plays += 1
+        if self._took_ms < 0:
+            self._took_ms = (time.monotonic() - began_s) * 1_000
+        if result.end is SessionEnd.CUT:
+            self._events[SessionEnd.CUT] += 1
+
+    def _renew_doubted_token(self, reason: str) -> None:
+        """After some rejections of a seat in doubt, come with a token of the next epoch."""
+        if reason == SEAT_IN_DOUBT and self._events[SEAT_IN_DOUBT] % DOUBTS_PER_TOKEN == 0:
+            self._epoch += 1
+            self._token = self._population.sign_token(self._seat, self._name, self._epoch)
+
+    async def _attempt(self, returned: bool) -> SessionResult:
+        """One session, over HTTP or RTSP."""
+        session = self._population.new_session()
+        suffix = ";again:1" if returned else ""
+        home = self._random.randrange(self._job.nodes)
         headers = {
-            "P-Kind": "exam",
-            "P-Time-Left": str(LEFT_MS),
-            "P-Path": path,
+            "P-Kind": PAID_CLASS,
+            "P-Time-Left": str(TIME_LEFT_MS),
+            "P-Path": f"home:{home};copies:3;top:2;viewer:{self._name}{suffix}",
             "X-Length": "20000.0",
-            "P-Billed": "law",
+            "P-Billed": TENANT,
         }
-        if draw.random() < self.job["http"]:
-            return await self.over_http(broker, session, headers, token, f"seat={seat}")
-        headers["P-Token"] = token
-        connection = await broker.connection(draw.randrange(self.job["connections"]))
+        if self._random.random() < self._job.http:
+            return await self._attempt_http(session, headers)
+        return await self._attempt_rtsp(session, {**headers, "P-Token": self._token})
+
+    # ---- RTSP ---------------------------------------------------------------------------------------------
+
+    async def _attempt_rtsp(self, session: str, headers: dict[str, str]) -> SessionResult:
+        connection = await self._connection()
         if connection is None:
-            return (*LOST, "")
-        leaves = draw.random() < 0.003
-        if leaves:  # this viewer's own connection is cut with its set-up open
-            try:
-                _, connection = await asyncio.get_running_loop().create_connection(
-                    RtspConnection, "127.0.0.1", broker.port
-                )
-            except OSError:
-                return (*LOST, "")
-            asyncio.get_running_loop().call_later(draw.uniform(0.0, 0.03), connection.transport.abort)
-        over = asyncio.Event()
-        connection.on_session_ended[session] = over.set
+            return LOST_ATTEMPT
+        ended = asyncio.Event()
+        connection.on_session_ended[session] = ended.set
         try:
-            status, reason, gap_ms = await connection.request(
-                "SETUP", "1", session, headers, f"seat={seat}", "aa00"
-            )
-            if status != 200:
-                return status, reason, gap_ms, ""
-            if draw.random() < 0.05:
-                newer = self.token(seat, viewer, epoch + 1, int(time.time()))
-                for turn in range(1 + (draw.random() < 0.2)):
-                    renewed, why, _ = await connection.request(
-                        "SET_PARAMETER", str(7 + turn), session, {"P-Token": newer}
-                    )
-                    met["renewed" if renewed == 200 else f"renewal-{why.replace(' ', '-')}"] += 1
-            try:
-                await asyncio.wait_for(over.wait(), draw.uniform(0.1, 1.0))
-                return 200, "", 0, "cut"
-            except TimeoutError:
-                status, _, _ = await connection.request("TEARDOWN", "2", session, {})
-                return (
-                    200,
-                    "",
-                    0,
-                    "left" if status == 200 else "lost",
-                )  # lost with its broker, who may not know of it
+            answer = await connection.request("SETUP", "1", session, headers, f"seat={self._seat}", TITLE)
+            if answer.status != STATUS_OK:
+                return SessionResult(answer)
+            if self._random.random() < RENEWAL_PROBABILITY:
+                await self._renew(connection, session)
+            return SessionResult(PLAYED, await self._play(connection, session, ended))
         finally:
             connection.on_session_ended.pop(session, None)
 
-    async def over_http(
-        self, broker: Broker, session: str, headers: dict[str, str], token: str, body: str
-    ) -> tuple[int, str, int, str]:
-        headers = {**headers, "Session": session, "Authorization": f"Bearer {token}"}
+    async def _connection(self) -> RtspConnection | None:
+        """A shared connection, or one of the viewer's own that will be aborted with its set-up open."""
+        connection = await self._broker.connection(self._random.randrange(self._job.connections))
+        if connection is None or self._random.random() >= ABORT_PROBABILITY:
+            return connection
+        own_connection = await connect_rtsp(self._broker.rtsp_port)
+        if own_connection is not None:
+            abort_after_s = self._random.uniform(*ABORT_AFTER_S)
+            asyncio.get_running_loop().call_later(abort_after_s, own_connection.transport.abort)
+        return own_connection
+
+    async def _renew(self, connection: RtspConnection, session: str) -> None:
+        """Renew with a token of the next epoch, sometimes twice with the same one."""
+        token = self._population.sign_token(self._seat, self._name, self._epoch + 1)
+        renewals = 2 if self._random.random() < SECOND_RENEWAL_PROBABILITY else 1
+        for turn in range(renewals):
+            cseq = str(FIRST_RENEWAL_CSEQ + turn)
+            answer = await connection.request("SET_PARAMETER", cseq, session, {"P-Token": token})
+            event = "renewed" if answer.status == STATUS_OK else f"renewal-{answer.reason.replace(' ', '-')}"
+            self._events[event] += 1
+
+    async def _play(self, connection: RtspConnection, session: str, ended: asyncio.Event) -> SessionEnd:
         try:
-            reader, writer = await asyncio.open_connection("127.0.0.1", broker.http)
+            await asyncio.wait_for(ended.wait(), self._random.uniform(*PLAY_S))
+        except TimeoutError:
+            answer = await connection.request("TEARDOWN", "2", session, {})
+            return SessionEnd.LEFT if answer.status == STATUS_OK else SessionEnd.LOST
+        return SessionEnd.CUT
+
+    # ---- HTTP ---------------------------------------------------------------------------------------------
+
+    async def _attempt_http(self, session: str, headers: dict[str, str]) -> SessionResult:
+        headers = {**headers, "Session": session, "Authorization": f"Bearer {self._token}"}
+        try:
+            reader, writer = await asyncio.open_connection("127.0.0.1", self._broker.http_port)
         except OSError:
-            return (*LOST, "")
+            return LOST_ATTEMPT
         try:
-            asked = http(reader, writer, "POST", "/media/aa00", headers, body)
-            status, text, gap_ms = await asyncio.wait_for(asked, ANSWER_TIMEOUT_S)
-            if status != 200:
-                return status, text or "refused", gap_ms, ""
-            await asyncio.sleep(self.draw.uniform(0.1, 1.0))
-            asked = http(reader, writer, "DELETE", f"/sessions/{session}", {}, "")
-            status, _, _ = await asyncio.wait_for(asked, ANSWER_TIMEOUT_S)
-            return 200, "", 0, "left" if status == 204 else "cut"
+            set_up = send_http_request(
+                reader, writer, "POST", f"/media/{TITLE}", headers, f"seat={self._seat}"
+            )
+            answer = await asyncio.wait_for(set_up, ANSWER_TIMEOUT_S)
+            if answer.status != STATUS_OK:
+                return SessionResult(answer._replace(reason=answer.reason or "refused"))
+            await asyncio.sleep(self._random.uniform(*PLAY_S))
+            release = send_http_request(reader, writer, "DELETE", f"/sessions/{session}", {}, "")
+            released = await asyncio.wait_for(release, ANSWER_TIMEOUT_S)
+            left = released.status == STATUS_NO_CONTENT
+            return SessionResult(PLAYED, SessionEnd.LEFT if left else SessionEnd.CUT)
         except (OSError, TimeoutError, ValueError, asyncio.IncompleteReadError):
-            return (*LOST, "")
+            return LOST_ATTEMPT
         finally:
             writer.close()
 
 
-async def http(
-    reader: asyncio.StreamReader,
-    writer: asyncio.StreamWriter,
-    method: str,
-    path: str,
-    headers: dict[str, str],
-    body: str,
-) -> RtspAnswer:
-    """One request on a connection that stays open."""
-    lines = [
-        f"{method} {path} HTTP/1.1",
-        "Host: broker",
-        *(f"{name}: {value}" for name, value in headers.items()),
-        f"Content-Length: {len(body)}",
-        "",
-        body,
-    ]
-    writer.write("\r\n".join(lines).encode("ascii"))
-    head = (await reader.readuntil(b"\r\n\r\n")).decode("ascii").split("\r\n")
-    told = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:])}
-    text = await reader.readexactly(int(told.get("content-length", "0")))
-    return RtspAnswer(
-        int(head[0].split(" ")[1]), text.decode("ascii", "replace"), int(told.get("p-gap-ms", "0"))
-    )
+async def _run(job: ViewersJob, log: TextIO) -> None:
+    await ViewerPopulation(job, log).run()
 
 
 def main() -> None:
-    asyncio.run(Crowd(json.loads(Path(sys.argv[1]).read_text(encoding="utf-8"))).run())
+    """Run the job that the command line names."""
+    job = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ViewersJob)
+    with Path(job.log).open("w", encoding="ascii") as log:
+        asyncio.run(_run(job, log))
 
 
 if __name__ == "__main__":
--- a/tests/test_seats_guide.py
+++ b/tests/test_seats_guide.py
@@ -288,9 +288,11 @@
         from lotuspick.lab.seats.audit import audit
 
         found = audit(self.RAN, ["A", "B"], ["C"])
-        self.assertEqual((found.ran, found.set_ups, found.doubted, found.at_once), (3, 4, 1, 0))
-        self.assertEqual((found.twice, found.phantom, found.missed), ([], [], []))
-        self.assertEqual(audit(self.RAN, ["A", "B", "A"], ["C"]).twice, ["A"])
-        self.assertEqual(audit(self.RAN, ["A", "B", "X"], ["C"]).phantom, ["X"])
-        self.assertEqual(audit(self.RAN, ["A"], ["C"]).missed, ["B"])
-        self.assertEqual(audit([*self.RAN, "ran q5 B s-1 12.0"], ["A", "B"], ["C"]).at_once, 1)
+        self.assertEqual(
+            (found.seats_run, found.set_ups, found.indeterminate, found.concurrent), (3, 4, 1, 0)
+        )
+        self.assertEqual((found.double_counts, found.phantom_counts, found.missed_counts), ([], [], []))
+        self.assertEqual(audit(self.RAN, ["A", "B", "A"], ["C"]).double_counts, ["A"])
+        self.assertEqual(audit(self.RAN, ["A", "B", "X"], ["C"]).phantom_counts, ["X"])
+        self.assertEqual(audit(self.RAN, ["A"], ["C"]).missed_counts, ["B"])
+        self.assertEqual(audit([*self.RAN, "ran q5 B s-1 12.0"], ["A", "B"], ["C"]).concurrent, 1)
