--- a/lotuspick/lab/emulator/__init__.py
+++ b/lotuspick/lab/emulator/__init__.py
@@ -1,5 +1,7 @@
-"""A small model of the world round the real loop and core, in simulated time: same seed, same bytes out.
+"""A small model of the world round the real dispatcher and decisions, in simulated time.
 
-``spec`` says what a day is made of, ``world`` plays it, ``audit`` keeps the rules and counts the worth. It exists
-for what only several brokers, tenants and nodes together show; it does not stand for the operators' bench.
+``spec`` says what a day is made of and ``world`` plays it: ``node`` and ``broker`` are the machines,
+``viewers`` and ``attempt`` those who ask, ``faults`` what goes wrong, ``link_meter`` what is delivered;
+``audit`` keeps the rules and counts the value. The same seed gives the same bytes. It is for what only
+several brokers, tenants and nodes together show; it does not stand for the operators' bench.
 """
--- /dev/null
+++ b/lotuspick/lab/emulator/cluster.py
@@ -0,0 +1,58 @@
+"""The nodes and brokers of a day, the endpoint list between them, and the plan that brokers read."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from lotuspick.cells.model import Plan
+from lotuspick.core.events import ServerListUpdate
+from lotuspick.lab.emulator.node import MediaNode
+from lotuspick.lab.emulator.simulation import Simulation
+from lotuspick.lab.emulator.spec import SECOND_US
+from lotuspick.routing.messages import EndpointListChanged
+
+if TYPE_CHECKING:
+    from lotuspick.lab.emulator.broker import EmulatedBroker
+
+LIST_DELAY_US, LATE_LIST_DELAY_US = 2 * SECOND_US, 10 * SECOND_US
+
+
+@dataclass(frozen=True, slots=True)
+class PlanSchedule:
+    """What the brokers' plan file says, from which second on."""
+
+    plans: Sequence[tuple[float, Plan]] = ()
+
+    def at(self, now_us: int) -> Plan | None:
+        """What a broker reads at a time; none where there is no plan yet."""
+        current = [plan for from_s, plan in self.plans if from_s * SECOND_US <= now_us]
+        return current[-1] if current else None
+
+
+class Cluster:
+    """Nodes, brokers and the coordinator's endpoint list."""
+
+    def __init__(self, simulation: Simulation, plans: PlanSchedule) -> None:
+        self.simulation = simulation
+        self.plans = plans
+        self.nodes = [MediaNode(simulation, index) for index in range(simulation.spec.nodes)]
+        self.nodes_by_name = {node.name: node for node in self.nodes}
+        self.endpoint_list = {node.name: node.entry() for node in self.nodes}
+        """What the coordinator has told."""
+        self.brokers: list[EmulatedBroker] = []
+        self.late_list_faults = 0
+        """Faults at present by which the endpoint list runs late."""
+
+    def announce(self, node: MediaNode) -> None:
+        """Have the coordinator tell all brokers of a node's state, after a while."""
+        entry = node.entry()
+
+        def tell_brokers() -> None:
+            self.endpoint_list[entry.server] = entry
+            for broker in self.brokers:
+                broker.current_process().deliver(EndpointListChanged(ServerListUpdate([entry])))
+
+        delay_us = LATE_LIST_DELAY_US if self.late_list_faults else LIST_DELAY_US
+        self.simulation.call_later(delay_us, tell_brokers)
--- /dev/null
+++ b/lotuspick/lab/emulator/faults.py
@@ -0,0 +1,89 @@
+"""Has the faults of a day begin and end."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from lotuspick.lab.emulator.broker import EmulatedBroker
+from lotuspick.lab.emulator.cluster import Cluster
+from lotuspick.lab.emulator.link_meter import LinkMeter
+from lotuspick.lab.emulator.node import MediaNode
+from lotuspick.lab.emulator.spec import SECOND_US, Fault, FaultKind
+
+SLOWDOWN = 20
+THIN_LINK_SHARE = 0.33
+
+
+class FaultInjector:
+    """The faults of a day."""
+
+    def __init__(self, cluster: Cluster, meter: LinkMeter) -> None:
+        self._cluster = cluster
+        self._meter = meter
+
+    def start(self) -> None:
+        """Schedule all faults."""
+        simulation = self._cluster.simulation
+        for fault in simulation.spec.faults:
+            simulation.call_later(int(fault.start_s * SECOND_US), partial(self._begin, fault))
+            simulation.call_later(int(fault.end_s * SECOND_US), partial(self._end, fault))
+
+    def _node(self, fault: Fault) -> MediaNode:
+        return self._cluster.nodes[fault.index % len(self._cluster.nodes)]
+
+    def _broker(self, fault: Fault) -> EmulatedBroker:
+        return self._cluster.brokers[fault.index % len(self._cluster.brokers)]
+
+    def _begin(self, fault: Fault) -> None:
+        node, broker = self._node(fault), self._broker(fault)
+        match fault.kind:
+            case FaultKind.NODE_DEAD:
+                node.die()
+                node.state = "gone"
+                self._cluster.announce(node)
+            case FaultKind.NODE_DRAINING:
+                node.state = "draining"
+                self._cluster.announce(node)
+            case FaultKind.NODE_SLOW:
+                node.slowdown = SLOWDOWN
+            case FaultKind.LINK_THIN:
+                node.link_share = THIN_LINK_SHARE
+            case FaultKind.ENDPOINT_LIST_LATE:
+                self._cluster.late_list_faults += 1
+            case FaultKind.NOTIFICATIONS_MUTE:
+                self._meter.mute_faults += 1
+            case FaultKind.BROKER_KILLED:
+                broker.kill()
+            case FaultKind.PLAN_STALE:
+                broker.plan_is_stale = True
+
+    def _end(self, fault: Fault) -> None:
+        node, broker = self._node(fault), self._broker(fault)
+        match fault.kind:
+            case FaultKind.NODE_DEAD:
+                self._bring_back(node)
+            case FaultKind.NODE_DRAINING:
+                node.die()
+                self._bring_back(node)
+            case FaultKind.NODE_SLOW:
+                node.slowdown = 1
+            case FaultKind.LINK_THIN:
+                node.link_share = 1.0
+            case FaultKind.ENDPOINT_LIST_LATE:
+                self._cluster.late_list_faults -= 1
+            case FaultKind.NOTIFICATIONS_MUTE:
+                self._meter.mute_faults -= 1
+            case FaultKind.BROKER_KILLED:
+                broker.start()
+            case FaultKind.PLAN_STALE:
+                self._end_stale_plan(broker)
+
+    def _bring_back(self, node: MediaNode) -> None:
+        node.come_back()
+        self._cluster.announce(node)
+
+    def _end_stale_plan(self, broker: EmulatedBroker) -> None:
+        broker.plan_is_stale = False
+        plan = self._cluster.plans.at(self._cluster.simulation.now_us)
+        if plan is not None:
+            broker.take_plan(plan)
--- /dev/null
+++ b/lotuspick/lab/emulator/node.py
@@ -0,0 +1,216 @@
+"""One media node: a queue of set-ups, and a link that all streams share."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from functools import partial
+from typing import TYPE_CHECKING
+
+from lotuspick.core.events import ServerEntry
+from lotuspick.lab.emulator.simulation import HOP_US, Simulation
+from lotuspick.lab.emulator.spec import (
+    CLASSES,
+    LADDER_KB_PER_S,
+    NODE_KIND,
+    SECOND_US,
+    SLOW_START_SHARE,
+    STREAMS_PER_SESSION,
+    WARM_UP_S,
+    ZONES,
+)
+from lotuspick.routing.interfaces import AttemptRequest
+from lotuspick.routing.messages import (
+    AttemptAnswered,
+    AttemptTerminated,
+    EdgeServerFailed,
+    EdgeServerNotified,
+    EdgeServerReleased,
+)
+from lotuspick.routing.termination import TerminationReason
+
+if TYPE_CHECKING:
+    from lotuspick.lab.emulator.attempt import Attempt
+    from lotuspick.lab.emulator.broker import BrokerProcess, EmulatedBroker
+
+SET_UP_WORK_US = 20_000
+"""For so long each set-up occupies the queue of its node."""
+SET_UP_DELAY_US = 40_000
+"""What a set-up takes beside its work."""
+FAILURE_NOTICE_US = 40_000
+"""After so long a broker knows that a node's process is gone."""
+WARM_UP_US = WARM_UP_S * SECOND_US
+LINK_SPREAD = (0.82, 1.18)
+"""What links truly give over what the operators say."""
+DEAD_CAUSE = "node died"
+
+
+@dataclass(slots=True, eq=False)
+class Stream:
+    """A session that plays at a node."""
+
+    session: str
+    owner: BrokerProcess
+    viewer: Attempt
+    rung: int
+    bitrate_factor: float
+    """True bitrate over that of its class."""
+    bitrate_scale: float
+    """Of its class."""
+
+    @property
+    def kb_per_s(self) -> float:
+        """What it would take of the link."""
+        return LADDER_KB_PER_S[self.rung] * self.bitrate_scale * self.bitrate_factor
+
+
+class MediaNode:
+    """One media node."""
+
+    def __init__(self, simulation: Simulation, index: int) -> None:
+        spec = simulation.spec
+        random_source = simulation.random_stream(f"node {index}")
+        self._simulation = simulation
+        self.index = index
+        self.name = f"m-{index:02d}"
+        self.zone = ZONES[index * len(ZONES) // spec.nodes]
+        self.rack = index % spec.racks
+        self.link_kb_per_s = spec.link_kb_per_s * random_source.uniform(*LINK_SPREAD)
+        self.stream_limit = int(spec.sessions_per_link * STREAMS_PER_SESSION)
+        self.streams: dict[str, Stream] = {}
+        """By session."""
+        self.pending: dict[str, BrokerProcess] = {}
+        """Set-ups that are queued or run, by session: who asked for them."""
+        self.up = True
+        self.slowdown = 1
+        """Set-ups take so many times as long."""
+        self.link_share = 1.0
+        """What the link gives at present over what it usually gives."""
+        self.state = "active"
+        self.started_us = 0
+        self._queue_free_us = 0
+        self._process = 0
+
+    def entry(self) -> ServerEntry:
+        """Its line of the endpoint list, as it is now."""
+        return ServerEntry(
+            server=self.name,
+            zone=self.zone,
+            kind=NODE_KIND,
+            position=self.index,
+            state=self.state,
+            weight=1.0,
+            started_us=self.started_us,
+            address=f"10.{self.index % 8}.0.{self.index}:9000",
+        )
+
+    # ---- load ---------------------------------------------------------------------------------------------
+
+    @property
+    def demand_kb_per_s(self) -> float:
+        """What all streams would take of the link."""
+        return sum(stream.kb_per_s for stream in self.streams.values())
+
+    @property
+    def capacity_kb_per_s(self) -> float:
+        """What the link gives at present."""
+        return self.link_kb_per_s * self.link_share
+
+    @property
+    def load(self) -> float:
+        """What is asked of the link over what it gives."""
+        return self.demand_kb_per_s / self.capacity_kb_per_s
+
+    def warm_share(self) -> float:
+        """Share of its capacity that a node has while it warms up; 1 for a warm one."""
+        age_us = self._simulation.now_us - self.started_us
+        if not self.started_us or age_us >= WARM_UP_US:
+            return 1.0
+        return max(SLOW_START_SHARE, age_us / WARM_UP_US)
+
+    # ---- sessions -----------------------------------------------------------------------------------------
+
+    def set_up(self, owner: BrokerProcess, attempt: AttemptRequest, viewer: Attempt) -> None:
+        """A broker's attempt arrives."""
+        simulation = self._simulation
+        if not self.up:
+            refused = AttemptTerminated(self.name, attempt.session, TerminationReason.DIAL_REFUSED)
+            simulation.call_later(HOP_US, lambda: owner.deliver(refused))
+            return
+        if len(self.streams) + len(self.pending) >= self.stream_limit:
+            simulation.call_later(HOP_US, lambda: owner.deliver(self._rejection(attempt.session)))
+            return
+        self.pending[attempt.session] = owner
+        now_us = simulation.now_us
+        self._queue_free_us = max(self._queue_free_us, now_us) + SET_UP_WORK_US * self.slowdown
+        delay_us = self._queue_free_us - now_us + SET_UP_DELAY_US * self.slowdown
+        simulation.call_later(delay_us, partial(self._answer, self._process, owner, attempt, viewer))
+
+    def _rejection(self, session: str) -> EdgeServerReleased:
+        return EdgeServerReleased(
+            self.name,
+            session,
+            TerminationReason.REJECTED_BY_SERVER,
+            TerminationReason.INTERRUPTED,
+            {"link": self.load},
+        )
+
+    def _answer(self, process: int, owner: BrokerProcess, attempt: AttemptRequest, viewer: Attempt) -> None:
+        """A set-up has run: the session plays."""
+        if process != self._process or self.pending.pop(attempt.session, None) is None:
+            return  # the node, or the broker that asked, died meanwhile
+        simulation, session, session_class = self._simulation, attempt.session, attempt.session_class
+        simulation.audit.record_set_up(
+            simulation.now_us, session, session_class, attempt.rung, self.name, viewer.intent.tenant
+        )
+        bitrate_scale = CLASSES[session_class].bitrate_scale
+        self.streams[session] = Stream(
+            session, owner, viewer, attempt.rung, viewer.title.bitrate_factor, bitrate_scale
+        )
+        load = self.load
+        owner.deliver(AttemptAnswered(self.name, session, b""), HOP_US)
+        owner.deliver(EdgeServerNotified(self.name, session, "link", load), HOP_US)
+        simulation.call_later(int(viewer.remaining_s * SECOND_US), lambda: self._finish(session))
+
+    def _finish(self, session: str) -> None:
+        """A session has played to its end."""
+        stream = self.streams.pop(session, None)
+        if stream is not None:
+            finished = TerminationReason.FINISHED
+            released = EdgeServerReleased(self.name, session, finished, finished, {"link": self.load})
+            stream.owner.deliver(released, HOP_US)
+
+    def release(self, session: str) -> None:
+        """A broker ends a session."""
+        self.streams.pop(session, None)
+
+    def drop_sessions_of(self, broker: EmulatedBroker) -> None:
+        """A broker's process is gone, and with it all that it asked for."""
+        for session, owner in list(self.pending.items()):
+            if owner.broker is broker:
+                del self.pending[session]
+        for stream in list(self.streams.values()):
+            if stream.owner.broker is broker:
+                self.release(stream.session)
+
+    # ---- the process --------------------------------------------------------------------------------------
+
+    def die(self) -> None:
+        """The process is gone; its brokers see their connections reset and dials refused."""
+        self.up = False
+        self._process += 1
+        owners = {stream.owner for stream in self.streams.values()} | set(self.pending.values())
+        for session, owner in self.pending.items():
+            reset = AttemptTerminated(self.name, session, TerminationReason.RESET)
+            owner.deliver(reset, HOP_US)
+        failed = EdgeServerFailed(self.name, TerminationReason.SERVER_DOWN)
+        for owner in sorted(owners, key=lambda owner: owner.broker.index):
+            owner.deliver(failed, FAILURE_NOTICE_US)
+        for stream in self.streams.values():
+            stream.viewer.end_cause = DEAD_CAUSE
+        self.streams, self.pending = {}, {}
+
+    def come_back(self) -> None:
+        """The process is started again, and has to warm up."""
+        self.up = True
+        self.state = "active"
+        self.started_us = self._simulation.now_us
--- a/lotuspick/lab/emulator/spec.py
+++ b/lotuspick/lab/emulator/spec.py
@@ -3,22 +3,86 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum
 
 from lotuspick.core.settings import ClassSettings, RetrySafety, Settings
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 ZONES = ("norte", "sur", "central")
-MIDDLE_KB = 580.0
-LADDER = tuple(MIDDLE_KB * part for part in (0.3, 0.7, 1.4, 3.0))
-RUNG_WORTH = (0.22, 0.5, 0.8, 1.0)
-LENGTHS = {"repaso": (15.0, 46.0), "asistencia": (22.0, 65.0)}
-GIVE_UP = {"repaso": 5.0, "asistencia": 3.0}
-PAID_PART = 0.35
+NODE_KIND = "nodo-2c"
+MIDDLE_KB_PER_S = 580.0
+LADDER_KB_PER_S = tuple(MIDDLE_KB_PER_S * part for part in (0.3, 0.7, 1.4, 3.0))
+RUNG_VALUES = (0.22, 0.5, 0.8, 1.0)
+RUNG_CHANGE_COST_S = 0.6
+SHORTFALL_COST = 8.0
+STREAMS_PER_SESSION = 2.6
+"""A node runs at most so many streams for each session that its link carries at the middle rate."""
+WARM_UP_S = 8
+SLOW_START_SHARE = 0.3
+OVERLOAD_FACTOR = 2.5
+OVERLOAD_WINDOW_S = 3
+DRAIN_GRACE_S = 2
+IDEMPOTENT_CLASS, PAID_CLASS = "repaso", "asistencia"
 
 
 @dataclass(frozen=True, slots=True)
-class Storm:
-    """Players of one tenant that ask again at once and without end, and leave what they set up standing."""
+class ClassModel:
+    """One class of sessions, as its viewers behave."""
+
+    share: float
+    """Of all sessions."""
+    length_s: tuple[float, float]
+    """Shortest and longest."""
+    patience_s: float
+    """A viewer waits for so long for an answer."""
+    latency_objective_us: int
+    priority_weight: float
+    bitrate_scale: float
+    """Its bitrates over the ladder's."""
+
+
+PAID_SHARE = 0.35
+CLASSES: dict[str, ClassModel] = {
+    IDEMPOTENT_CLASS: ClassModel(1 - PAID_SHARE, (15.0, 46.0), 5.0, 1_500_000, 1.0, 0.7),
+    PAID_CLASS: ClassModel(PAID_SHARE, (22.0, 65.0), 3.0, 800_000, 2.0, 1.4),
+}
+
+
+class FaultKind(StrEnum):
+    """What goes wrong."""
+
+    NODE_DEAD = "dead"
+    """A node dies, and comes back at the end."""
+    NODE_SLOW = "slow"
+    """Its set-ups take 20 times as long."""
+    LINK_THIN = "thin"
+    """Its link gives a third."""
+    ENDPOINT_LIST_LATE = "late"
+    """The endpoint list runs 10 s behind."""
+    NOTIFICATIONS_MUTE = "mute"
+    """No load notifications arrive."""
+    NODE_DRAINING = "drain"
+    """A node is told to leave."""
+    BROKER_KILLED = "kill"
+    """A broker is killed, and back at the end."""
+    PLAN_STALE = "stale"
+    """A broker does not hear of a new plan until the end."""
+
+
+@dataclass(frozen=True, slots=True)
+class Fault:
+    """Something that goes wrong for a while."""
+
+    kind: FaultKind
+    start_s: float
+    end_s: float
+    index: int = 0
+    """Of the node or broker."""
+
+
+@dataclass(frozen=True, slots=True)
+class RetryStorm:
+    """Players of one tenant that ask again at once and without end, and leave what they set up playing."""
 
     tenant: str
     start_s: float
@@ -26,14 +90,14 @@
     times: float = 20.0
     """Requests of the tenant over its usual ones."""
     leaks: float = 0.5
-    """Part of the served tries whose session is left standing while its player asks again."""
+    """Share of the served attempts whose session is left playing while its player asks again."""
     marked: bool = True
-    """The players keep their viewer's name and say that they come again; else each try looks like a first."""
+    """The players keep their viewer's name and say that they return; else each attempt looks like a first."""
 
 
 @dataclass(frozen=True, slots=True)
-class Crowd:
-    """Viewers of one tenant that come beside its usual ones, for one lesson."""
+class FlashCrowd:
+    """Viewers of one tenant that come beside its usual ones, for one title."""
 
     tenant: str
     start_s: float
@@ -42,23 +106,9 @@
     """A second."""
 
 
-@dataclass(frozen=True, slots=True)
-class Trouble:
-    """What goes wrong. ``kind``: ``dead`` (a node dies, and comes back at the end), ``slow`` (its set-ups take 20
-    times as long), ``thin`` (its link gives a third), ``late`` (the roster runs 10 s behind), ``mute`` (no load
-    notes), ``drain`` (a node is told to leave), ``kill`` (a broker is killed, and back after a second), ``stale``
-    (a broker does not hear of a new plan until the end)."""
-
-    kind: str
-    start_s: float
-    end_s: float
-    index: int = 0
-    """Of the node or broker."""
-
-
 @dataclass(frozen=True, slots=True)
 class Spec:
-    """One day."""
+    """One day. The names of the fields are keys of the experiments' files."""
 
     nodes: int = 40
     racks: int = 8
@@ -67,7 +117,7 @@
     skew: float = 0.6
     """Exponent of Zipf's law over the tenants."""
     lessons: int = 6
-    """Lessons of each tenant."""
+    """Titles of each tenant."""
     load: float = 0.5
     """What viewers would fill of the links at the middle rate."""
     day_s: float = 80.0
@@ -75,65 +125,92 @@
     sessions_per_link: float = 10.0
     """At the middle rate."""
     cells: int = 8
-    """Blocks of positions beside each other, over which the operators have laid the tenants' lessons ..."""
+    """Blocks of positions beside each other, over which the operators have laid the tenants' titles ..."""
     copies: tuple[int, int] = (3, 5)
-    """... each on so many positions from one of the first of its tenant's block on; what is over lies in the next."""
+    """... each on so many positions from one of the first of its tenant's block on.
+
+    What does not fit lies in the next block.
+    """
     strays: float = 0.1
-    """Part of the lessons that lie on three positions anywhere."""
+    """Share of the titles that lie on three positions anywhere."""
     wide: tuple[str, ...] = ()
-    """Tenants whose lessons lie on all of their block and of the next, so that they can be moved there."""
-    storms: tuple[Storm, ...] = ()
-    crowds: tuple[Crowd, ...] = ()
-    troubles: tuple[Trouble, ...] = ()
+    """Tenants whose titles lie on all of their block and of the next, so that they can be moved there."""
+    storms: tuple[RetryStorm, ...] = ()
+    crowds: tuple[FlashCrowd, ...] = ()
+    faults: tuple[Fault, ...] = ()
 
     @property
     def rate(self) -> float:
-        """First tries a second, all tenants together."""
+        """First attempts a second, all tenants together."""
         mean_s = sum(
-            part * sum(LENGTHS[name]) / 2 * scale
-            for name, part, scale in (("repaso", 1 - PAID_PART, 0.7), ("asistencia", PAID_PART, 1.4))
+            model.share * sum(model.length_s) / 2 * model.bitrate_scale for model in CLASSES.values()
         )
         return self.load * self.nodes * self.sessions_per_link / mean_s
 
+    @property
+    def link_kb_per_s(self) -> float:
+        """What the operators say that a node's link gives."""
+        return self.sessions_per_link * MIDDLE_KB_PER_S
+
+    @property
+    def uplink_kb_per_s(self) -> float:
+        """What the operators say that a rack's uplink gives."""
+        return self.nodes / self.racks * self.sessions_per_link * MIDDLE_KB_PER_S
+
+    @property
+    def block_size(self) -> int:
+        """Positions of a block."""
+        return self.nodes // self.cells
+
     def settings(self, zone: str) -> Settings:
-        """What each broker is told."""
+        """The settings of each broker of a zone."""
         return Settings(
             zone=zone,
             brokers=self.brokers,
-            ladder_kb_per_s=LADDER,
-            rung_values=RUNG_WORTH,
-            classes=[
-                ClassSettings("repaso", 1_500_000, priority_weight=1.0, bitrate_scale=0.7),
-                ClassSettings(
-                    "asistencia",
-                    800_000,
-                    retry_safety=RetrySafety.NOT_IDEMPOTENT,
-                    priority_weight=2.0,
-                    bitrate_scale=1.4,
-                    lowest_rung=1,
-                ),
-            ],
-            stream_limit_by_kind={"nodo-2c": self.sessions_per_link * 2.6},
+            ladder_kb_per_s=LADDER_KB_PER_S,
+            rung_values=RUNG_VALUES,
+            classes=_class_settings(),
+            stream_limit_by_kind={NODE_KIND: self.sessions_per_link * STREAMS_PER_SESSION},
             positions=self.nodes,
             racks=self.racks,
-            link_kb_per_weight=self.sessions_per_link * MIDDLE_KB,
+            link_kb_per_weight=self.link_kb_per_s,
             weight_kind="nominal",
-            uplink_kb_per_s=self.nodes / self.racks * self.sessions_per_link * MIDDLE_KB,
-            total_link_kb_per_s=self.nodes * self.sessions_per_link * MIDDLE_KB,
+            uplink_kb_per_s=self.uplink_kb_per_s,
+            total_link_kb_per_s=self.nodes * self.sessions_per_link * MIDDLE_KB_PER_S,
             notification_delay_us=700_000,
-            notification_interval_us=3 * SECOND,
-            rung_change_cost_s=0.6,
-            shortfall_cost=8.0,
+            notification_interval_us=3 * SECOND_US,
+            rung_change_cost_s=RUNG_CHANGE_COST_S,
+            shortfall_cost=SHORTFALL_COST,
             max_attempts=4,
             dial_timeout_us=250_000,
-            drain_grace_us=2 * SECOND,
-            slow_start_fraction=0.3,
-            warm_up_us=8 * SECOND,
-            overload_factor=2.5,
-            overload_window_us=3 * SECOND,
+            drain_grace_us=DRAIN_GRACE_S * SECOND_US,
+            slow_start_fraction=SLOW_START_SHARE,
+            warm_up_us=WARM_UP_S * SECOND_US,
+            overload_factor=OVERLOAD_FACTOR,
+            overload_window_us=OVERLOAD_WINDOW_S * SECOND_US,
             retry_after_allowed=True,
-            max_retry_after_us=30 * SECOND,
+            max_retry_after_us=30 * SECOND_US,
             inline_load_reports=True,
             cross_zone_price=0.057,
             migration_price=0.094,
         )
+
+
+def _class_settings() -> list[ClassSettings]:
+    idempotent, paid = CLASSES[IDEMPOTENT_CLASS], CLASSES[PAID_CLASS]
+    return [
+        ClassSettings(
+            IDEMPOTENT_CLASS,
+            idempotent.latency_objective_us,
+            priority_weight=idempotent.priority_weight,
+            bitrate_scale=idempotent.bitrate_scale,
+        ),
+        ClassSettings(
+            PAID_CLASS,
+            paid.latency_objective_us,
+            retry_safety=RetrySafety.NOT_IDEMPOTENT,
+            priority_weight=paid.priority_weight,
+            bitrate_scale=paid.bitrate_scale,
+            lowest_rung=1,
+        ),
+    ]
--- a/lotuspick/lab/experiment/cost.py
+++ b/lotuspick/lab/experiment/cost.py
@@ -26,7 +26,7 @@
     SessionStarted,
     TimerFired,
 )
-from lotuspick.lab.emulator.spec import SECOND, Spec
+from lotuspick.lab.emulator.spec import SECOND_US, Spec
 
 STEP_US = 10_000
 FIFTHS = 5
@@ -99,7 +99,7 @@
     )
     for side in sides:
         side.step(0, [roster])
-    draw, now, asked = random.Random(f"cost {seed}"), 10 * SECOND, 0
+    draw, now, asked = random.Random(f"cost {seed}"), 10 * SECOND_US, 0
     warm = sessions // 5
     gc.collect()
     while asked < sessions:
@@ -111,7 +111,7 @@
             cls, lesson = draw.choice(["repaso", "repaso", "asistencia"]), draw.randrange(6)
             home = random.Random(f"{tenant} {lesson}").randrange(nodes)
             for side in sides:
-                side.lengths[f"s{asked}"] = int(draw.uniform(15, 46) * SECOND)
+                side.lengths[f"s{asked}"] = int(draw.uniform(15, 46) * SECOND_US)
             events.append(
                 SessionRequest(
                     f"s{asked}",
@@ -120,7 +120,7 @@
                     home,
                     int(arm.get("copies", 4)),
                     3,
-                    now + 4 * SECOND,
+                    now + 4 * SECOND_US,
                     30e6,
                     f"v{asked}",
                     tenant,
@@ -141,7 +141,16 @@
             fifth = at * FIFTHS // names
             peaks[fifth] = max(peaks[fifth], resident_mib())
         ask = SessionRequest(
-            f"n{at}", "repaso", f"l{at}", at % nodes, 4, 3, now + 4 * SECOND, 30e6, f"w{at}", f"made-up-{at}"
+            f"n{at}",
+            "repaso",
+            f"l{at}",
+            at % nodes,
+            4,
+            3,
+            now + 4 * SECOND_US,
+            30e6,
+            f"w{at}",
+            f"made-up-{at}",
         )
         guide.constraint_for(now + at * 100, ask)
         guide.on_event(now + at * 100, RejectSession(f"n{at}"))
--- a/lotuspick/lab/experiment/trials.py
+++ b/lotuspick/lab/experiment/trials.py
@@ -9,8 +9,10 @@
 from typing import Any
 
 from lotuspick.cells.model import Cell, FairShare, Limits, Move, Plan, Rule, Selector
-from lotuspick.lab.emulator.spec import SECOND, Crowd, Spec, Storm, Trouble
-from lotuspick.lab.emulator.world import METER_US, World
+from lotuspick.lab.emulator.audit import Answer
+from lotuspick.lab.emulator.link_meter import METER_US
+from lotuspick.lab.emulator.spec import SECOND_US, Fault, FaultKind, FlashCrowd, RetryStorm, Spec
+from lotuspick.lab.emulator.world import World
 from lotuspick.lab.experiment.cost import cost
 from lotuspick.lab.fleet.trial import fleet
 from lotuspick.lab.load.trial import load
@@ -33,9 +35,10 @@
         cell = Cell(f"c{at}", selector)
         cells[cell.name] = cell if budgets else replace(cell, limits=FREE, elsewhere=1e9)
     rules = tuple(
-        Rule(tenant, "*", f"c{world.blocks[tenant]}", world.parts[tenant]) for tenant in world.tenants
+        Rule(tenant, "*", f"c{world.tenants.blocks[tenant]}", world.tenants.shares[tenant])
+        for tenant in world.tenants.names
     )
-    named = frozenset(world.tenants)
+    named = frozenset(world.tenants.names)
     plan = Plan(cells, epoch, rules=rules, moves=moves, named=named)
     return (
         plan
@@ -54,7 +57,7 @@
     return Spec(**values)
 
 
-def troubles(spec: Spec, draw: random.Random) -> tuple[Trouble, ...]:
+def troubles(spec: Spec, draw: random.Random) -> tuple[Fault, ...]:
     """A slow node, a dead one, a late roster and silent notes, somewhere in the day."""
 
     def when(long_s: float) -> tuple[float, float]:
@@ -62,10 +65,10 @@
         return start, start + long_s
 
     return (
-        Trouble("slow", *when(12.0), draw.randrange(spec.nodes)),
-        Trouble("dead", *when(15.0), draw.randrange(spec.nodes)),
-        Trouble("late", *when(15.0)),
-        Trouble("mute", *when(8.0)),
+        Fault(FaultKind.NODE_SLOW, *when(12.0), draw.randrange(spec.nodes)),
+        Fault(FaultKind.NODE_DEAD, *when(15.0), draw.randrange(spec.nodes)),
+        Fault(FaultKind.ENDPOINT_LIST_LATE, *when(15.0)),
+        Fault(FaultKind.NOTIFICATIONS_MUTE, *when(8.0)),
     )
 
 
@@ -78,9 +81,9 @@
         f"t{draw.randrange(12):03d}"  # one of the larger ones: what a small one asks at 20 times is little
     )
     if arm.get("troubles"):
-        spec = replace(spec, troubles=troubles(spec, draw))
+        spec = replace(spec, faults=troubles(spec, draw))
     if arm.get("storm"):
-        storm = Storm(
+        storm = RetryStorm(
             tenant,
             spec.measure_from_s + 5,
             spec.day_s - 5,
@@ -93,19 +96,21 @@
     if arm["plan"] != "none":
         world = World(spec, seed, [(0.0, blocks(world, arm["plan"] == "budgets"))])
     day = world.play()
-    home = world.blocks[tenant]
+    home = world.tenants.blocks[tenant]
     groups = {
-        "others": {each for each in world.tenants if world.blocks[each] != home},
-        "same": {each for each in world.tenants if world.blocks[each] == home and each != tenant},
+        "others": {each for each in world.tenants.names if world.tenants.blocks[each] != home},
+        "same": {
+            each for each in world.tenants.names if world.tenants.blocks[each] == home and each != tenant
+        },
         "own": {tenant},
-        "all": set(world.tenants),
+        "all": set(world.tenants.names),
     }
-    row = {name: 100 * day.books.service(group) for name, group in groups.items()}
+    row = {name: 100 * day.audit.service(group) for name, group in groups.items()}
     row |= {
-        "broken": float(len(day.books.broken)),
-        "requests": float(day.books.tries[tenant]),
-        "nodes": float(len(day.books.touched.get(tenant, ()))),
-        "refused": float(day.books.outcomes["refused"]),
+        "broken": float(len(day.audit.violations)),
+        "requests": float(day.audit.requests[tenant]),
+        "nodes": float(len(day.audit.nodes_by_tenant.get(tenant, ()))),
+        "refused": float(day.audit.answers[Answer.REJECTED]),
     }
     return row, {}
 
@@ -118,45 +123,47 @@
     draw = random.Random(f"moves {seed}")
     count = int(arm.get("moves", 10))
     tenants = [f"t{index:03d}" for index in draw.sample(range(60), count)]
-    crowds = tuple(Crowd(tenant, 0.0, 0.0, 1.5) for tenant in tenants[: count // 2])
+    crowds = tuple(FlashCrowd(tenant, 0.0, 0.0, 1.5) for tenant in tenants[: count // 2])
     scout = World(replace(spec, wide=tuple(tenants)), seed)
     first: list[Move] = []
     later: list[Move] = []
     for at, tenant in enumerate(tenants):
-        target = f"c{(scout.blocks[tenant] + 1) % spec.cells}"
-        start = int(draw.uniform(16.0, 45.0) * SECOND)
-        pauses = ((start + 8 * SECOND, start + 12 * SECOND),) if at % 5 == 3 else ()
-        move = Move(tenant, target, 1, start, 3 * SECOND, 15 * SECOND, 70 * SECOND, pauses)
+        target = f"c{(scout.tenants.blocks[tenant] + 1) % spec.cells}"
+        start = int(draw.uniform(16.0, 45.0) * SECOND_US)
+        pauses = ((start + 8 * SECOND_US, start + 12 * SECOND_US),) if at % 5 == 3 else ()
+        move = Move(tenant, target, 1, start, 3 * SECOND_US, 15 * SECOND_US, 70 * SECOND_US, pauses)
         first.append(move)
         if at % 5 == 1:  # moved back home before the first move is done
             later += [
                 move,
                 Move(
                     tenant,
-                    f"c{scout.blocks[tenant]}",
+                    f"c{scout.tenants.blocks[tenant]}",
                     2,
-                    start + 12 * SECOND,
-                    2 * SECOND,
-                    10 * SECOND,
-                    70 * SECOND,
+                    start + 12 * SECOND_US,
+                    2 * SECOND_US,
+                    10 * SECOND_US,
+                    70 * SECOND_US,
                 ),
             ]
         elif at % 5 == 2:
-            later.append(replace(move, back_us=start + 11 * SECOND))
+            later.append(replace(move, back_us=start + 11 * SECOND_US))
         else:
             later.append(move)
     crowds = tuple(
-        replace(crowd, start_s=move.start_us / SECOND, end_s=move.start_us / SECOND + 30.0)
+        replace(crowd, start_s=move.start_us / SECOND_US, end_s=move.start_us / SECOND_US + 30.0)
         for crowd, move in zip(crowds, first)
     )
     noise = []
     for _ in range(int(arm.get("kills", 2))):
         at_s = draw.uniform(18.0, 70.0)
-        noise.append(Trouble("kill", at_s, at_s + 1.0, draw.randrange(spec.brokers)))
+        noise.append(Fault(FaultKind.BROKER_KILLED, at_s, at_s + 1.0, draw.randrange(spec.brokers)))
     for _ in range(int(arm.get("stale", 2))):
-        noise.append(Trouble("stale", 10.0, draw.uniform(25.0, 60.0), draw.randrange(spec.brokers)))
+        noise.append(
+            Fault(FaultKind.PLAN_STALE, 10.0, draw.uniform(25.0, 60.0), draw.randrange(spec.brokers))
+        )
     noise += troubles(spec, draw) if arm.get("troubles") else ()
-    spec = replace(spec, crowds=crowds, troubles=tuple(noise), wide=tuple(tenants))
+    spec = replace(spec, crowds=crowds, faults=tuple(noise), wide=tuple(tenants))
     plans = [
         (0.0, blocks(scout)),
         (12.0, blocks(scout, epoch=2, moves=tuple(first))),
@@ -176,29 +183,31 @@
 
     def look() -> None:
         for tenant, end_us in ends.items():
-            if world.now >= end_us:
-                old = world.nodes[world.blocks[tenant] * size : (world.blocks[tenant] + 1) * size]
+            if world.simulation.now_us >= end_us:
+                old = world.cluster.nodes[
+                    world.tenants.blocks[tenant] * size : (world.tenants.blocks[tenant] + 1) * size
+                ]
                 if any(
                     stream.viewer.intent.tenant == tenant for node in old for stream in node.streams.values()
                 ):
-                    drains[tenant] = (world.now + METER_US - end_us) / SECOND
+                    drains[tenant] = (world.simulation.now_us + METER_US - end_us) / SECOND_US
                 else:
                     drains.setdefault(tenant, 0.0)
 
-    world.meters.append(look)
+    world.meter.observers.append(look)
     day = world.play()
-    books = day.books
-    dropped = sum(times for cause, times in books.ends.items() if cause.startswith("dropped"))
-    twice = sum(times > 1 for times in books.runs.values())
+    audit = day.audit
+    dropped = sum(times for cause, times in audit.ends.items() if cause.startswith("dropped"))
+    twice = sum(times > 1 for times in audit.paid_set_ups.values())
     return {
         "moves": 0.0 if arm.get("still") else float(len(later)),
         "dropped": float(dropped),
         "twice": float(twice),
-        "broken": float(len(books.broken)),
-        "service": 100 * books.service(),
-        "moving": 100 * books.service(set(tenants)),
-        "sessions": float(books.outcomes["served"]),
-        "cut by kills": float(books.ends["broker killed"]),
+        "broken": float(len(audit.violations)),
+        "service": 100 * audit.service(),
+        "moving": 100 * audit.service(set(tenants)),
+        "sessions": float(audit.answers[Answer.SERVED]),
+        "cut by kills": float(audit.ends["broker killed"]),
     }, {"drain": [] if arm.get("still") else list(drains.values())}
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,7 +14,7 @@
 
 from lotuspick.core.controller import Controller
 from lotuspick.core.placement import Placement
-from lotuspick.lab.emulator.spec import Spec, Storm, Trouble
+from lotuspick.lab.emulator.spec import Fault, FaultKind, RetryStorm, Spec
 from lotuspick.lab.emulator.world import World, play
 from lotuspick.lab.experiment import model, run
 from lotuspick.lab.experiment.trials import blocks, moves
@@ -22,12 +22,12 @@
 
 SMALL = Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, measure_from_s=10.0)
 NOISE = (
-    Trouble("kill", 15.0, 16.0, 1),
-    Trouble("dead", 18.0, 25.0, 2),
-    Trouble("drain", 20.0, 30.0, 5),
-    Trouble("slow", 12.0, 20.0, 7),
-    Trouble("late", 22.0, 30.0),
-    Trouble("mute", 15.0, 25.0),
+    Fault(FaultKind.BROKER_KILLED, 15.0, 16.0, 1),
+    Fault(FaultKind.NODE_DEAD, 18.0, 25.0, 2),
+    Fault(FaultKind.NODE_DRAINING, 20.0, 30.0, 5),
+    Fault(FaultKind.NODE_SLOW, 12.0, 20.0, 7),
+    Fault(FaultKind.ENDPOINT_LIST_LATE, 22.0, 30.0),
+    Fault(FaultKind.NOTIFICATIONS_MUTE, 15.0, 25.0),
 )
 
 
@@ -39,32 +39,32 @@
                     name: getattr(SMALL, name)
                     for name in ("nodes", "racks", "cells", "tenants", "brokers", "day_s")
                 },
-                "storms": (Storm("t000", 12.0, 30.0),),
-                "troubles": NOISE,
+                "storms": (RetryStorm("t000", 12.0, 30.0),),
+                "faults": NOISE,
             }
         )
         plans = [(0.0, blocks(World(spec, 3)))]
         days = [play(spec, 3, plans) for _ in range(2)]
-        self.assertEqual(days[0].books.worth, days[1].books.worth)
-        self.assertEqual(days[0].news, days[1].news)
-        self.assertEqual(days[0].books.broken, [])  # a storm on every broker, in all troubles at once
-        self.assertNotEqual(play(spec, 4, plans).books.worth, days[0].books.worth)
+        self.assertEqual(days[0].audit.values, days[1].audit.values)
+        self.assertEqual(days[0].operator_events, days[1].operator_events)
+        self.assertEqual(days[0].audit.violations, [])  # a storm on every broker, in all troubles at once
+        self.assertNotEqual(play(spec, 4, plans).audit.values, days[0].audit.values)
 
     def test_every_rule_holds_in_trouble(self) -> None:
         for seed in range(3):
             day = play(
-                Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, load=1.2, troubles=NOISE),
+                Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, load=1.2, faults=NOISE),
                 seed,
             )
-            self.assertEqual(day.books.broken, [])
-            self.assertGreater(day.books.ends["broker killed"] + day.books.ends["node died"], 0)
+            self.assertEqual(day.audit.violations, [])
+            self.assertGreater(day.audit.ends["broker killed"] + day.audit.ends["node died"], 0)
 
     def test_a_tenant_reaches_only_its_cell(self) -> None:
         spec = Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, strays=0.0, copies=(3, 8))
         world = World(spec, 5)
         day = play(spec, 5, [(0.0, blocks(world))])
-        for tenant, nodes in day.books.touched.items():
-            block = world.blocks[tenant]
+        for tenant, nodes in day.audit.nodes_by_tenant.items():
+            block = world.tenants.blocks[tenant]
             self.assertLessEqual(nodes, {f"m-{at:02d}" for at in range(4 * block, 4 * block + 4)})
 
     def test_the_audit_catches_a_core_that_breaks_rules(self) -> None:
@@ -77,12 +77,12 @@
             ]
 
         with patch.object(Controller, "handle", lowest):
-            self.assertIn("on the lowest rung", " ".join(play(SMALL, 1).books.broken))
+            self.assertIn("on the lowest rung", " ".join(play(SMALL, 1).audit.violations))
         with (
             patch.object(Controller, "handle", lambda self, now, events: []),
             patch.object(MessageHandlers, "_on_deadline", lambda self, session, request: None),
         ):
-            self.assertIn("no outcome for", " ".join(play(SMALL, 1).books.broken))
+            self.assertIn("no outcome for", " ".join(play(SMALL, 1).audit.violations))
         with patch.object(Placement, "is_usable", lambda self, server: server.listed):
             drained = Spec(
                 nodes=4,
@@ -92,9 +92,9 @@
                 brokers=3,
                 day_s=30.0,
                 copies=(4, 4),
-                troubles=(Trouble("drain", 5.0, 28.0, 1),),
+                faults=(Fault(FaultKind.NODE_DRAINING, 5.0, 28.0, 1),),
             )
-            self.assertIn("told to drain", " ".join(play(drained, 1).books.broken))
+            self.assertIn("told to drain", " ".join(play(drained, 1).audit.violations))
 
     def test_moves_drop_nothing(self) -> None:
         row, samples = moves(
