--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -36,8 +36,8 @@
 
 from lotuspick.lab.fleet.fake_coordinator import CoordinatorServer  # noqa: E402
 from lotuspick.lab.fleet.site_settings import SITE_SETTINGS  # noqa: E402
-from lotuspick.lab.load.arrivals import Kind, Load, Phase, drawn  # noqa: E402
-from lotuspick.lab.load.sender import Sender, Target  # noqa: E402
+from lotuspick.lab.load.arrivals import ClassShare, LoadProfile, Phase, draw_arrivals  # noqa: E402
+from lotuspick.lab.load.sender import LoadSender, Target  # noqa: E402
 
 BROKERS, NODES, RATE, STARTED_S = 2, 60, 30.0, 30.0
 ASK = (
@@ -156,8 +156,8 @@
                 )
                 found["start_s"].append(ready(port, started[-1], began_s))
             found["empty_mib"] = [private_mib(each.pid) for each in started]
-            kinds = [Kind("clip", 0.7, 3.0, 8.0), Kind("exam", 0.3, 3.0, 8.0)]
-            load = Load([Phase("p", seconds, RATE)], kinds, ceilings={2: 1.0})
+            kinds = [ClassShare("clip", 0.7, 3.0, 8.0), ClassShare("exam", 0.3, 3.0, 8.0)]
+            load = LoadProfile([Phase("p", seconds, RATE)], kinds, rung_shares={2: 1.0})
             found["slope_mib_h"] = asyncio.run(play(ports, load, seed, [each.pid for each in started]))
             found["served_mib"] = [private_mib(each.pid) for each in started]
         finally:
@@ -171,9 +171,11 @@
     return found
 
 
-async def play(ports: list[int], load: Load, seed: int, pids: list[int]) -> list[float]:
+async def play(ports: list[int], load: LoadProfile, seed: int, pids: list[int]) -> list[float]:
     """The same load on each broker; returns the slope of each one's memory, MiB an hour."""
-    senders = [Sender(list(drawn(load, seed + at)), Target(port, NODES)) for at, port in enumerate(ports)]
+    senders = [
+        LoadSender(list(draw_arrivals(load, seed + at)), Target(port, NODES)) for at, port in enumerate(ports)
+    ]
     samples: list[list[float]] = []
 
     async def sample() -> None:
--- a/lotuspick/lab/emulator/audit.py
+++ b/lotuspick/lab/emulator/audit.py
@@ -80,7 +80,7 @@
     """By tenant."""
     nodes_by_tenant: dict[str, set[str]] = field(default_factory=dict)
     """Nodes that each tenant's set-ups reached."""
-    _recent_warm_up_sends: dict[str, deque[int]] = field(default_factory=dict)
+    _recent_warm_up_sends: dict[str, deque[int]] = field(default_factory=dict, init=False)
 
     def record_violation(self, now_us: int, description: str) -> None:
         """A rule is broken."""
--- a/lotuspick/lab/load/__init__.py
+++ b/lotuspick/lab/load/__init__.py
@@ -1,2 +1,6 @@
-"""The load generator: arrivals drawn ahead, traces, and measures that count from when a request should have been sent.
-Read ``arrivals`` (what comes when), ``trace`` (the same as a file) and ``measure`` (what was found) in this order."""
+"""The load generator: open loop, so that a slow broker is measured as slow.
+
+``arrivals`` draws requests ahead, ``trace`` keeps them in files, ``sender`` sends them when they are due
+and ``measure`` says what came of them; ``trial`` holds all of it against ``fake_broker``, whose latencies
+are known.
+"""
--- a/lotuspick/lab/load/arrivals.py
+++ b/lotuspick/lab/load/arrivals.py
@@ -1,8 +1,9 @@
 """Arrivals drawn ahead, by seed: when each request is to be sent, whatever the broker does meanwhile.
 
-A shape says how many requests a second are wanted at each moment; phases follow one another. Poisson arrivals of a
-rate that changes are drawn by time rescaling (Cinlar, *Introduction to Stochastic Processes*, 1975): uniform points
-under the integral of the rate, brought back to time through its inverse.
+A shape says how many requests a second are wanted at each moment; phases follow one another. Poisson
+arrivals of a rate that changes are drawn by time rescaling (Cinlar, *Introduction to Stochastic
+Processes*, 1975): uniform points under the integral of the rate, brought back to time through its
+inverse.
 """
 
 from __future__ import annotations
@@ -10,85 +11,100 @@
 import math
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 import numpy as np
 from numpy.typing import NDArray
 
+from lotuspick.lab.errors import LabError
+
 GRID_S = 0.01  # the rate's integral is taken in steps of this; a rate that changes faster is blurred by it
-CLOSING = math.log(0.5) / math.log(0.9) - 1
-SHAPES = ("constant", "ramp", "burst", "sine", "closing")
+CLOSING_EXPONENT = math.log(0.5) / math.log(0.9) - 1  # half of what it adds comes in the last tenth
+BURST_HALF_WIDTH = 0.1  # of a phase, round its middle
+SHARE_TOLERANCE = 1e-6
+US_PER_S = 1e6
 Floats = NDArray[np.float64]
 
 
-class LoadError(ValueError):
-    """A load that cannot be drawn; the text names the key."""
+class LoadError(LabError, ValueError):
+    """A load that cannot be drawn, or a trace that cannot be read; the text names the key or the line."""
+
+
+class Shape(StrEnum):
+    """How the rate changes over a phase."""
+
+    CONSTANT = "constant"
+    RAMP = "ramp"
+    """Rises or falls evenly to the target."""
+    BURST = "burst"
+    """At the target in the middle fifth."""
+    SINE = "sine"
+    """A day from its quietest hour to the next; the target is its peak."""
+    CLOSING = "closing"
+    """Rises to the last moment, up to the target."""
 
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """A stretch of load. ``rate`` is requests a second; ``to`` where a ramp ends, the height of a burst, the peak of a
-    sine day, or the rate just before closing time."""
+    """A stretch of load."""
 
     name: str
     seconds: float
     rate: float
-    shape: str = "constant"
-    to: float = 0.0
-    even: bool = False
-    """Evenly spaced instead of Poisson."""
-    lesson: str = ""
-    """A crowd: a part of the requests is for this lesson alone ..."""
-    crowd: float = 0.0
-    """... and this is the part."""
+    """Requests a second at its beginning."""
+    shape: str = Shape.CONSTANT
+    target_rate: float = 0.0
+    """What the shape reaches."""
+    evenly_spaced: bool = False
+    """In place of Poisson arrivals."""
+    crowd_title: str = ""
+    """A crowd: a share of the requests is for this title alone ..."""
+    crowd_share: float = 0.0
+    """... and this is the share."""
 
     def __post_init__(self) -> None:
-        for key, value, least in (
-            ("seconds", self.seconds, 0.0),
-            ("rate", self.rate, 0.0),
-            ("to", self.to, 0.0),
-        ):
-            if not isinstance(value, (int, float)) or not least <= value < math.inf:
-                raise LoadError(
-                    f"phase {self.name}: {key} must be a number of {least:g} or more, not {value!r}"
-                )
-        if self.shape not in SHAPES:
+        for key in ("seconds", "rate", "target_rate"):
+            value = getattr(self, key)
+            if not isinstance(value, (int, float)) or not 0.0 <= value < math.inf:
+                raise LoadError(f"phase {self.name}: {key} must be a number of 0 or more, not {value!r}")
+        if self.shape not in list(Shape):
+            raise LoadError(f"phase {self.name}: shape must be one of {', '.join(Shape)}, not {self.shape!r}")
+        if not 0 <= self.crowd_share <= 1 or (self.crowd_share and not self.crowd_title):
             raise LoadError(
-                f"phase {self.name}: shape must be one of {', '.join(SHAPES)}, not {self.shape!r}"
-            )
-        if not 0 <= self.crowd <= 1 or self.crowd and not self.lesson:
-            raise LoadError(
-                f"phase {self.name}: crowd must be a part from 0 to 1 and lesson name what it is for"
+                f"phase {self.name}: crowd_share must be from 0 to 1 and crowd_title say what it is for"
             )
 
-    def rates(self, at: Floats) -> Floats:
+    def rates(self, at_s: Floats) -> Floats:
         """Requests a second wanted at times since the phase began."""
-        part = at / self.seconds if self.seconds else at * 0.0
+        part = at_s / self.seconds if self.seconds else at_s * 0.0
+        added = self.target_rate - self.rate
         match self.shape:
-            case "ramp":
-                return self.rate + (self.to - self.rate) * part
-            case "burst":  # the middle fifth
-                return np.where(np.abs(part - 0.5) < 0.1, self.to, self.rate)
-            case "sine":  # a day from its quietest hour to the next
-                return self.rate + (self.to - self.rate) * (1 - np.cos(2 * math.pi * part)) / 2
-            case "closing":  # rises to the last moment: half of what it adds comes in the last tenth
-                return self.rate + (self.to - self.rate) * part**CLOSING
+            case Shape.RAMP:
+                return self.rate + added * part
+            case Shape.BURST:
+                return np.where(np.abs(part - 0.5) < BURST_HALF_WIDTH, self.target_rate, self.rate)
+            case Shape.SINE:
+                return self.rate + added * (1 - np.cos(2 * math.pi * part)) / 2
+            case Shape.CLOSING:
+                return self.rate + added * part**CLOSING_EXPONENT
             case _:
-                return np.full_like(at, self.rate)
+                return np.full_like(at_s, self.rate)
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """One class of session among the arrivals."""
+class ClassShare:
+    """One class of sessions among the arrivals."""
 
-    cls: str
-    part: float
-    least_s: float
-    most_s: float
+    session_class: str
+    share: float
+    shortest_s: float
+    longest_s: float
 
     def __post_init__(self) -> None:
-        if not 0 < self.part <= 1 or not 0 < self.least_s <= self.most_s < math.inf:
+        if not 0 < self.share <= 1 or not 0 < self.shortest_s <= self.longest_s < math.inf:
             raise LoadError(
-                f"class {self.cls}: part must be above 0 and at most 1, lengths above 0 and in order"
+                f"class {self.session_class}: share must be above 0 and at most 1, "
+                "lengths above 0 and in order"
             )
 
 
@@ -99,89 +115,112 @@
     at_us: int
     """Since the start of the load."""
     session: int
-    cls: str
-    lesson: str
+    session_class: str
+    title: str
     tenant: str
     viewer: int
-    ceiling: int
+    highest_rung: int
     length_us: int
     phase: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
-    """All of it."""
+class LoadProfile:
+    """All that a load is made of."""
 
     phases: Sequence[Phase]
-    kinds: Sequence[Kind]
-    lessons: int = 200
+    classes: Sequence[ClassShare]
+    titles: int = 200
     tenants: int = 20
-    ceilings: Mapping[int, float] = field(default_factory=lambda: {3: 1.0})
-    """Highest rungs that viewers can use, and the part of each."""
+    rung_shares: Mapping[int, float] = field(default_factory=lambda: {3: 1.0})
+    """Highest rungs that viewers can use, and the share of each."""
     skew: float = 0.8
-    """Exponent of Zipf's law over lessons and over tenants; 0: all alike."""
+    """Exponent of Zipf's law over titles and over tenants; 0: all alike."""
 
     def __post_init__(self) -> None:
-        if not self.phases or not self.kinds:
+        if not self.phases or not self.classes:
             raise LoadError("a load needs phases and classes")
-        for key, parts in (
-            ("classes", [kind.part for kind in self.kinds]),
-            ("ceilings", list(self.ceilings.values())),
+        for key, shares in (
+            ("classes", [each.share for each in self.classes]),
+            ("rung_shares", list(self.rung_shares.values())),
         ):
-            if not math.isclose(sum(parts), 1.0, abs_tol=1e-6):
-                raise LoadError(f"{key}: parts must add up to 1, not {sum(parts):g}")
-        if self.lessons < 1 or self.tenants < 1:
-            raise LoadError("lessons and tenants must be 1 or more")
+            if not math.isclose(sum(shares), 1.0, abs_tol=SHARE_TOLERANCE):
+                raise LoadError(f"{key}: shares must add up to 1, not {sum(shares):g}")
+        if self.titles < 1 or self.tenants < 1:
+            raise LoadError("titles and tenants must be 1 or more")
 
 
-def times(phase: Phase, draw: np.random.Generator) -> Floats:
+def arrival_times(phase: Phase, generator: np.random.Generator) -> Floats:
     """Seconds since the phase began of all its arrivals, in order."""
     steps = max(1, math.ceil(phase.seconds / GRID_S))
     edges = np.linspace(0.0, phase.seconds, steps + 1)
     middles = (edges[1:] + edges[:-1]) / 2
-    total = np.concatenate(([0.0], np.cumsum(np.maximum(0.0, phase.rates(middles)) * np.diff(edges))))
-    if total[-1] <= 0:
+    requests = np.cumsum(np.maximum(0.0, phase.rates(middles)) * np.diff(edges))
+    integral = np.concatenate(([0.0], requests))
+    total = integral[-1]
+    if total <= 0:
         return np.empty(0)
-    if phase.even:
-        wanted = np.arange(0.5, total[-1])
+    if phase.evenly_spaced:
+        points = np.arange(0.5, total)
     else:
-        wanted = np.sort(draw.uniform(0.0, total[-1], draw.poisson(total[-1])))
-    return np.interp(wanted, total, edges)
+        points = np.sort(generator.uniform(0.0, total, generator.poisson(total)))
+    return np.interp(points, integral, edges)
 
 
-def zipf(count: int, skew: float) -> Floats:
-    """Parts of a number of things by Zipf's law, largest first."""
+def zipf_shares(count: int, skew: float) -> Floats:
+    """Shares of a number of things by Zipf's law, largest first."""
     weights = 1.0 / np.arange(1, count + 1) ** skew
     return np.asarray(weights / weights.sum())
 
 
-def drawn(load: Load, seed: int) -> Iterator[Arrival]:
+def draw_arrivals(profile: LoadProfile, seed: int) -> Iterator[Arrival]:
     """All arrivals, in order of time; the same seed draws the same ones."""
-    draw = np.random.default_rng(seed)
-    lessons, tenants = zipf(load.lessons, load.skew), zipf(load.tenants, load.skew)
-    owners = draw.choice(load.tenants, load.lessons, p=tenants)
-    kinds, rungs = list(load.kinds), list(load.ceilings)
-    began_s, number = 0.0, 0
-    for phase in load.phases:
-        at = times(phase, draw)
-        count = len(at)
-        cls = draw.choice(len(kinds), count, p=[kind.part for kind in kinds])
-        lesson = draw.choice(load.lessons, count, p=lessons)
-        ceiling = draw.choice(rungs, count, p=[load.ceilings[rung] for rung in rungs])
-        length, crowded = draw.uniform(0.0, 1.0, count), draw.uniform(0.0, 1.0, count) < phase.crowd
-        for row in range(count):
-            kind, number = kinds[cls[row]], number + 1
-            named = phase.lesson if crowded[row] else f"lesson-{lesson[row]}"
-            length_s = kind.least_s + length[row] * (kind.most_s - kind.least_s)
-            yield Arrival(
-                int((began_s + at[row]) * 1e6),
-                number,
-                kind.cls,
-                named,
-                f"tenant-{owners[lesson[row]]}",
-                number,
-                int(ceiling[row]),
-                int(length_s * 1e6),
-                phase.name,
-            )
+    generator = np.random.default_rng(seed)
+    title_shares = zipf_shares(profile.titles, profile.skew)
+    tenant_shares = zipf_shares(profile.tenants, profile.skew)
+    owners = generator.choice(profile.tenants, profile.titles, p=tenant_shares)
+    began_s, first_session = 0.0, 1
+    for phase in profile.phases:
+        drawn = _draw_phase(profile, phase, began_s, first_session, generator, title_shares, owners)
+        yield from drawn
         began_s += phase.seconds
+        first_session += len(drawn)
+
+
+def _draw_phase(
+    profile: LoadProfile,
+    phase: Phase,
+    began_s: float,
+    first_session: int,
+    generator: np.random.Generator,
+    title_shares: Floats,
+    owners: NDArray[np.int64],
+) -> list[Arrival]:
+    """The arrivals of one phase; sessions, and their viewers, are numbered on."""
+    classes, rungs = list(profile.classes), list(profile.rung_shares)
+    at_s = arrival_times(phase, generator)
+    count = len(at_s)
+    class_index = generator.choice(len(classes), count, p=[each.share for each in classes])
+    title_index = generator.choice(profile.titles, count, p=title_shares)
+    highest_rung = generator.choice(rungs, count, p=[profile.rung_shares[rung] for rung in rungs])
+    length_part = generator.uniform(0.0, 1.0, count)
+    in_crowd = generator.uniform(0.0, 1.0, count) < phase.crowd_share
+    arrivals = []
+    for row in range(count):
+        chosen = classes[class_index[row]]
+        length_s = chosen.shortest_s + length_part[row] * (chosen.longest_s - chosen.shortest_s)
+        session = first_session + row
+        arrivals.append(
+            Arrival(
+                at_us=int((began_s + at_s[row]) * US_PER_S),
+                session=session,
+                session_class=chosen.session_class,
+                title=phase.crowd_title if in_crowd[row] else f"lesson-{title_index[row]}",
+                tenant=f"tenant-{owners[title_index[row]]}",
+                viewer=session,
+                highest_rung=int(highest_rung[row]),
+                length_us=int(length_s * US_PER_S),
+                phase=phase.name,
+            )
+        )
+    return arrivals
--- a/lotuspick/lab/load/measure.py
+++ b/lotuspick/lab/load/measure.py
@@ -1,9 +1,11 @@
-"""What a load met: latency from when each request should have been sent, in HDR histograms that merge over processes,
-and the generator's own lag, by which it voids the seconds in which it fell behind.
+"""What a load met: latencies and outcomes, and the generator's own lag.
 
-A client that waits for an answer before it asks again measures a stalled broker once, however many would have asked
-meanwhile (coordinated omission; Tene, *How NOT to Measure Latency*, 2013). Here nobody waits: what counts is the time
-that was intended.
+Latency counts from when each request should have been sent, in HDR histograms that merge over processes.
+By its lag the generator voids the seconds in which it fell behind.
+
+A client that waits for an answer before it asks again measures a stalled broker once, however many would
+have asked meanwhile (coordinated omission; Tene, *How NOT to Measure Latency*, 2013). Here nobody waits:
+what counts is the time that was intended.
 """
 
 from __future__ import annotations
@@ -11,22 +13,48 @@
 from collections import Counter
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from hdrh.histogram import HdrHistogram
 
-LEAST_US, MOST_US, DIGITS = 1, 120_000_000, 3
+SHORTEST_US, LONGEST_US, SIGNIFICANT_DIGITS = 1, 120_000_000, 3
+SECOND_US = 1_000_000
 LATE_US = 5_000  # a send later than this is late ...
-LATE_PART = 0.001  # ... and a second with a larger part of late ones does not count
+LATE_SHARE = 0.001  # ... and a second with a larger share of late ones does not count
 ON_TIME = "on time"
+VOIDED = "voided"
+"""The outcome of what was sent in a second that does not count."""
+LISTED_SECONDS = 10
+PERCENTILES = (50.0, 99.0, 99.9)
+
+
+def new_histogram() -> HdrHistogram:
+    """A histogram of microseconds, to three digits, up to two minutes."""
+    return HdrHistogram(SHORTEST_US, LONGEST_US, SIGNIFICANT_DIGITS)
+
+
+def _bounded_us(duration_us: int) -> int:
+    """A duration within the range of the histograms."""
+    return min(LONGEST_US, max(SHORTEST_US, duration_us))
+
 
+class OutcomeKey(NamedTuple):
+    """What latencies and outcomes are counted by."""
 
-def histogram() -> HdrHistogram:
-    """Microseconds, to three digits, up to two minutes."""
-    return HdrHistogram(LEAST_US, MOST_US, DIGITS)
+    session_class: str
+    phase: str
+    outcome: str
+
+
+class Latency(NamedTuple):
+    """One latency that is not counted yet."""
+
+    key: OutcomeKey
+    took_us: int
 
 
 @dataclass(slots=True)
-class Second:
+class SendCounts:
     """The sends that were due in one second."""
 
     due: int = 0
@@ -34,97 +62,105 @@
 
 
 @dataclass(slots=True)
-class Found:
+class LoadMeasurement:
     """What one process met. All times are microseconds since the load's start."""
 
-    latency: dict[tuple[str, str, str], HdrHistogram] = field(default_factory=dict)
-    """By class, phase and outcome."""
-    outcomes: Counter[tuple[str, str, str]] = field(default_factory=Counter)
-    lag: HdrHistogram = field(default_factory=histogram)
-    seconds: dict[int, Second] = field(default_factory=dict)
-    waiting: dict[int, list[tuple[tuple[str, str, str], int]]] = field(default_factory=dict)
-    """Latencies by the second in which they were due, until it is known whether it counts."""
+    latencies: dict[OutcomeKey, HdrHistogram] = field(default_factory=dict)
+    outcomes: Counter[OutcomeKey] = field(default_factory=Counter)
+    lag: HdrHistogram = field(default_factory=new_histogram)
+    seconds: dict[int, SendCounts] = field(default_factory=dict)
+    _unsettled: dict[int, list[Latency]] = field(default_factory=dict, init=False)
+    """By the second in which they were due, until it is known whether it counts."""
 
-    def sent(self, due_us: int, at_us: int) -> None:
+    def record_sent(self, due_us: int, at_us: int) -> None:
         """A request that was due has been sent."""
         lag_us = max(0, at_us - due_us)
-        self.lag.record_value(min(MOST_US, max(LEAST_US, lag_us)))
-        second = self.seconds.setdefault(due_us // 1_000_000, Second())
+        self.lag.record_value(_bounded_us(lag_us))
+        second = self.seconds.setdefault(due_us // SECOND_US, SendCounts())
         second.due += 1
         second.late += lag_us > LATE_US
 
-    def answered(self, cls: str, phase: str, outcome: str, due_us: int, at_us: int) -> None:
-        """It has its answer: the time counts from when it was due."""
-        self.waiting.setdefault(due_us // 1_000_000, []).append(
-            ((cls, phase, outcome), min(MOST_US, max(LEAST_US, at_us - due_us)))
-        )
+    def record_outcome(self, session_class: str, phase: str, outcome: str, due_us: int, at_us: int) -> None:
+        """A request has its outcome: the latency counts from when it was due."""
+        latency = Latency(OutcomeKey(session_class, phase, outcome), _bounded_us(at_us - due_us))
+        self._unsettled.setdefault(due_us // SECOND_US, []).append(latency)
 
-    def voided(self) -> list[int]:
+    def voided_seconds(self) -> list[int]:
         """Seconds in which too many sends were late: what was measured in them is the generator's doing."""
-        return sorted(at for at, second in self.seconds.items() if second.late > LATE_PART * second.due)
+        return sorted(
+            second for second, counts in self.seconds.items() if counts.late > LATE_SHARE * counts.due
+        )
 
-    def settle(self) -> Found:
+    def settle(self) -> LoadMeasurement:
         """Put what was met in seconds that count into the histograms."""
-        void = set(self.voided())
-        for at, listed in self.waiting.items():
-            for key, took_us in listed:
-                if at in void:
-                    self.outcomes[(key[0], key[1], "voided")] += 1
+        voided = set(self.voided_seconds())
+        for second, latencies in self._unsettled.items():
+            for key, took_us in latencies:
+                if second in voided:
+                    self.outcomes[key._replace(outcome=VOIDED)] += 1
                     continue
                 self.outcomes[key] += 1
-                self.latency.setdefault(key, histogram()).record_value(took_us)
-        self.waiting = {}
+                self.latencies.setdefault(key, new_histogram()).record_value(took_us)
+        self._unsettled = {}
         return self
 
-    def merge(self, other: Found) -> Found:
-        """What two processes met; each has settled by its own lag."""
-        for key, each in other.latency.items():
-            self.latency.setdefault(key, histogram()).add(each)
+    def merge(self, other: LoadMeasurement) -> LoadMeasurement:
+        """Add what another process met; each has settled by its own lag."""
+        for key, histogram in other.latencies.items():
+            self.latencies.setdefault(key, new_histogram()).add(histogram)
         self.outcomes += other.outcomes
         self.lag.add(other.lag)
-        for at, second in other.seconds.items():
-            mine = self.seconds.setdefault(at, Second())
-            mine.due, mine.late = mine.due + second.due, mine.late + second.late
+        for second, counts in other.seconds.items():
+            own = self.seconds.setdefault(second, SendCounts())
+            own.due += counts.due
+            own.late += counts.late
         return self
 
-    def verdict(self) -> str:
+    def generator_verdict(self) -> str:
         """One line on the generator itself."""
-        void = self.voided()
-        if not void:
+        voided = self.voided_seconds()
+        if not voided:
             return ON_TIME
+        listed = ", ".join(map(str, voided[:LISTED_SECONDS]))
+        more = " ..." if len(voided) > LISTED_SECONDS else ""
         return (
-            f"the generator fell behind in {len(void)} of {len(self.seconds)} seconds, which are void: "
-            f"{', '.join(map(str, void[:10]))}{' ...' if len(void) > 10 else ''}"
+            f"the generator fell behind in {len(voided)} of {len(self.seconds)} seconds, which are void: "
+            f"{listed}{more}"
         )
 
     def quantiles(
-        self, cls: str, outcome: str, phase: str = "", at: tuple[float, ...] = (50.0, 99.0, 99.9)
+        self, session_class: str, outcome: str, phase: str = "", at: tuple[float, ...] = PERCENTILES
     ) -> Mapping[float, float]:
         """Latency in microseconds at percentiles, over all phases or in one."""
-        whole = histogram()
-        for (each, when, what), one in self.latency.items():
-            if (each, what) == (cls, outcome) and phase in ("", when):
-                whole.add(one)
-        return {each: float(whole.get_value_at_percentile(each)) for each in at}
+        combined = new_histogram()
+        for key, histogram in self.latencies.items():
+            is_asked = (key.session_class, key.outcome) == (session_class, outcome)
+            if is_asked and phase in ("", key.phase):
+                combined.add(histogram)
+        return {percentile: float(combined.get_value_at_percentile(percentile)) for percentile in at}
 
     def pack(self) -> dict[str, object]:
         """As plain values, for another process: histograms in the library's own compressed form."""
         return {
-            "latency": [[*key, each.encode().decode("ascii")] for key, each in self.latency.items()],
+            "latency": [
+                [*key, histogram.encode().decode("ascii")] for key, histogram in self.latencies.items()
+            ],
             "outcomes": [[*key, times] for key, times in self.outcomes.items()],
             "lag": self.lag.encode().decode("ascii"),
-            "seconds": [[at, second.due, second.late] for at, second in self.seconds.items()],
+            "seconds": [[second, counts.due, counts.late] for second, counts in self.seconds.items()],
         }
 
     @classmethod
-    def unpack(cls, told: Mapping[str, list[list[object]]]) -> Found:
+    def unpack(cls, packed: Mapping[str, list[list[object]]]) -> LoadMeasurement:
         """What :meth:`pack` made."""
-        made = cls()
-        for one, phase, outcome, text in told["latency"]:
-            made.latency[str(one), str(phase), str(outcome)] = HdrHistogram.decode(str(text))
-        for one, phase, outcome, times in told["outcomes"]:
-            made.outcomes[str(one), str(phase), str(outcome)] = int(str(times))
-        made.lag = HdrHistogram.decode(str(told["lag"]))
-        for at, due, late in told["seconds"]:
-            made.seconds[int(str(at))] = Second(int(str(due)), int(str(late)))
-        return made
+        measurement = cls()
+        for session_class, phase, outcome, text in packed["latency"]:
+            key = OutcomeKey(str(session_class), str(phase), str(outcome))
+            measurement.latencies[key] = HdrHistogram.decode(str(text))
+        for session_class, phase, outcome, times in packed["outcomes"]:
+            key = OutcomeKey(str(session_class), str(phase), str(outcome))
+            measurement.outcomes[key] = int(str(times))
+        measurement.lag = HdrHistogram.decode(str(packed["lag"]))
+        for second, due, late in packed["seconds"]:
+            measurement.seconds[int(str(second))] = SendCounts(int(str(due)), int(str(late)))
+        return measurement
--- a/lotuspick/lab/load/sender.py
+++ b/lotuspick/lab/load/sender.py
@@ -1,7 +1,8 @@
 """Sends arrivals when they are due, over RTSP, whatever the broker does meanwhile.
 
-No request waits for another: a few connections carry all of them, as those of a portal would, and an answer is matched
-to its request by session. What the process could not send in time is seen by :class:`Found`, which voids those seconds.
+No request waits for another: a few connections carry all of them, as those of a portal would, and an
+answer is matched to its request by session. What the process could not send in time is seen by
+:class:`LoadMeasurement`, which voids those seconds.
 """
 
 from __future__ import annotations
@@ -13,12 +14,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lotuspick.lab.load.arrivals import Arrival
-from lotuspick.lab.load.measure import Found
+from lotuspick.lab.load.arrivals import US_PER_S, Arrival
+from lotuspick.lab.load.measure import LoadMeasurement
 from lotuspick.lab.rtsp import parse_messages
 
 SILENT, CUT, NOT_CONNECTED = "silent", "cut", "not-connected"
-CONNECT_S = 2.0
+"""Outcomes of requests without an answer; the outcome of the others is their status."""
+SERVED = "200"
+CONNECT_TIMEOUT_S = 2.0
+DRAIN_POLL_S = 0.01
+SENDS_PER_YIELD = 64
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,128 +32,158 @@
 
     port: int
     positions: int
+    """Over which titles are spread."""
     host: str = "127.0.0.1"
     connections: int = 8
-    left_ms: int = 3_000
-    patience_s: float = 6.0
+    time_left_ms: int = 3_000
+    answer_timeout_s: float = 6.0
     """An answer that takes longer counts as none."""
 
 
-class Link(asyncio.Protocol):
+class SenderConnection(asyncio.Protocol):
     """One connection: matches answers, and says what is lost with it."""
 
-    def __init__(self, sender: Sender) -> None:
-        self.sender, self.buffer, self.up = sender, b"", False
-        self.open: dict[str, Arrival] = {}
+    def __init__(self, sender: LoadSender) -> None:
+        self.connected = False
+        self.pending: dict[str, Arrival] = {}
+        """Requests without an answer, by session."""
+        self._sender = sender
+        self._buffer = b""
 
     def connection_made(self, transport: Any) -> None:
-        self.transport, self.up = transport, True
-
-    def connection_lost(self, error: Exception | None) -> None:
-        self.up = False
-        lost, self.open = self.open, {}
-        for each in lost.values():
-            self.sender.answered(each, CUT)
+        """Send from now on."""
+        self.transport = transport
+        self.connected = True
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """All pending requests are lost."""
+        del exc
+        self.connected = False
+        lost, self.pending = self.pending, {}
+        for arrival in lost.values():
+            self._sender.record_outcome(arrival, CUT)
 
     def data_received(self, data: bytes) -> None:
-        messages, self.buffer = parse_messages(self.buffer + data)
-        for first, headers in messages:
-            session = headers.get("session", "")
-            if first.startswith("RTSP/1.0") and session in self.open:
-                self.sender.answered(self.open.pop(session), first[9:12], self)
+        """Match answers; any other message is ignored."""
+        messages, self._buffer = parse_messages(self._buffer + data)
+        for message in messages:
+            if message.is_response and message.session in self.pending:
+                arrival = self.pending.pop(message.session)
+                self._sender.record_outcome(arrival, message.status_text, self)
 
 
 @dataclass(slots=True, eq=False)
-class Sender:
+class LoadSender:
     """One process's part of a load."""
 
     arrivals: Sequence[Arrival]
     target: Target
-    found: Found = field(default_factory=Found)
-    began_s: float = 0.0
-    links: list[Link] = field(default_factory=list)
-    trouble: Counter[str] = field(default_factory=Counter)
-
-    async def run(self, began_s: float | None = None) -> Found:
-        """Send all, wait for what is open as long as patience lasts, and return what was met. ``began_s``: when the
-        load begins on the system's monotonic clock, so that several processes begin together."""
-        loop = asyncio.get_running_loop()
-        await asyncio.gather(*(self._connect(loop) for _ in range(self.target.connections)))
-        self.began_s = time.monotonic() if began_s is None else began_s
-        for number, each in enumerate(self.arrivals):
-            wait_s = self.began_s + each.at_us / 1e6 - time.monotonic()
+    measurement: LoadMeasurement = field(default_factory=LoadMeasurement)
+    connect_errors: Counter[str] = field(default_factory=Counter)
+    """By type of the error."""
+    _began_s: float = field(default=0.0, init=False)
+    _connections: list[SenderConnection] = field(default_factory=list, init=False)
+    _tasks: set[asyncio.Task[None]] = field(default_factory=set, init=False)
+
+    async def run(self, began_s: float | None = None) -> LoadMeasurement:
+        """Send all, wait for what is pending until its time is over, and return what was met.
+
+        Args:
+            began_s: When the load begins on the system's monotonic clock, so that several processes begin
+            together.
+        """
+        await asyncio.gather(*(self._open_connection() for _ in range(self.target.connections)))
+        self._began_s = time.monotonic() if began_s is None else began_s
+        for number, arrival in enumerate(self.arrivals):
+            wait_s = self._began_s + arrival.at_us / US_PER_S - time.monotonic()
             if wait_s > 0:
                 await asyncio.sleep(wait_s)
-            elif number % 64 == 0:
+            elif number % SENDS_PER_YIELD == 0:
                 await asyncio.sleep(0)  # behind, or in a crowd: answers must be read all the same
-            self._send(number, each)
-        until_s = time.monotonic() + self.target.patience_s
-        while any(link.open for link in self.links) and time.monotonic() < until_s:
-            await asyncio.sleep(0.01)
-        for link in self.links:
-            for each in link.open.values():
-                self.answered(each, SILENT)
-            link.open = {}
-            if link.up:
-                link.transport.close()
-        return self.found.settle()
-
-    async def _connect(self, loop: asyncio.AbstractEventLoop) -> None:
-        link = Link(self)
-        self.links.append(link)
+            self._send(number, arrival)
+        await self._drain()
+        return self.measurement.settle()
+
+    async def _drain(self) -> None:
+        """Wait for answers until their time is over, then close."""
+        until_s = time.monotonic() + self.target.answer_timeout_s
+        while any(connection.pending for connection in self._connections) and time.monotonic() < until_s:
+            await asyncio.sleep(DRAIN_POLL_S)
+        for connection in self._connections:
+            for arrival in connection.pending.values():
+                self.record_outcome(arrival, SILENT)
+            connection.pending = {}
+            if connection.connected:
+                connection.transport.close()
+
+    async def _open_connection(self) -> None:
+        connection = SenderConnection(self)
+        self._connections.append(connection)
+        loop = asyncio.get_running_loop()
+        connecting = loop.create_connection(lambda: connection, self.target.host, self.target.port)
         try:
-            await asyncio.wait_for(
-                loop.create_connection(lambda: link, self.target.host, self.target.port), CONNECT_S
-            )
+            await asyncio.wait_for(connecting, CONNECT_TIMEOUT_S)
         except (OSError, TimeoutError) as error:
-            self.trouble[type(error).__name__] += 1
-
-    def _send(self, number: int, each: Arrival) -> None:
-        self.found.sent(each.at_us, self._now_us())
-        link = self.links[number % len(self.links)]
-        if not link.up:
-            self.answered(each, NOT_CONNECTED)
-            asyncio.get_running_loop().create_task(self._again(number % len(self.links), link))
+            self.connect_errors[type(error).__name__] += 1
+
+    def _send(self, number: int, arrival: Arrival) -> None:
+        self.measurement.record_sent(arrival.at_us, self._elapsed_us())
+        index = number % len(self._connections)
+        connection = self._connections[index]
+        if not connection.connected:
+            self.record_outcome(arrival, NOT_CONNECTED)
+            reconnecting = asyncio.get_running_loop().create_task(self._reconnect(index, connection))
+            self._tasks.add(reconnecting)
+            reconnecting.add_done_callback(self._tasks.discard)
             return
-        session = f"{each.session:016x}"
-        link.open[session] = each
-        link.transport.write(set_up(each, session, self.target).encode("ascii"))
+        connection.pending[_session_id(arrival)] = arrival
+        connection.transport.write(set_up_request(arrival, self.target).encode("ascii"))
 
-    async def _again(self, at: int, old: Link) -> None:
-        """Guards against a load that meets nothing more once its connections were cut."""
-        if self.links[at] is not old:
+    async def _reconnect(self, index: int, former: SenderConnection) -> None:
+        """Replace a lost connection, unless that was done: after a cut the load has to go on."""
+        if self._connections[index] is not former:
             return
-        self.links[at] = link = Link(self)
+        self._connections[index] = connection = SenderConnection(self)
+        loop = asyncio.get_running_loop()
         try:
-            await asyncio.get_running_loop().create_connection(
-                lambda: link, self.target.host, self.target.port
-            )
+            await loop.create_connection(lambda: connection, self.target.host, self.target.port)
         except OSError as error:
-            self.trouble[type(error).__name__] += 1
+            self.connect_errors[type(error).__name__] += 1
 
-    def answered(self, each: Arrival, outcome: str, link: Link | None = None) -> None:
+    def record_outcome(
+        self, arrival: Arrival, outcome: str, connection: SenderConnection | None = None
+    ) -> None:
         """A request has its outcome; what plays is ended when its length is over."""
-        self.found.answered(each.cls, each.phase, outcome, each.at_us, self._now_us())
-        if outcome == "200" and link is not None:
-            asyncio.get_running_loop().call_later(each.length_us / 1e6, self._end, each, link)
+        self.measurement.record_outcome(
+            arrival.session_class, arrival.phase, outcome, arrival.at_us, self._elapsed_us()
+        )
+        if outcome == SERVED and connection is not None:
+            length_s = arrival.length_us / US_PER_S
+            asyncio.get_running_loop().call_later(length_s, _end_session, arrival, connection)
+
+    def _elapsed_us(self) -> int:
+        return int((time.monotonic() - self._began_s) * US_PER_S)
+
+
+def _session_id(arrival: Arrival) -> str:
+    return f"{arrival.session:016x}"
 
-    def _end(self, each: Arrival, link: Link) -> None:
-        if link.up:
-            link.transport.write(
-                f"TEARDOWN rtsp://media/{each.lesson} RTSP/1.0\r\nCSeq: 2\r\nSession: "
-                f"{each.session:016x}\r\nContent-Length: 0\r\n\r\n".encode("ascii")
-            )
 
-    def _now_us(self) -> int:
-        return int((time.monotonic() - self.began_s) * 1e6)
+def _end_session(arrival: Arrival, connection: SenderConnection) -> None:
+    if connection.connected:
+        connection.transport.write(
+            f"TEARDOWN rtsp://media/{arrival.title} RTSP/1.0\r\nCSeq: 2\r\n"
+            f"Session: {_session_id(arrival)}\r\nContent-Length: 0\r\n\r\n".encode("ascii")
+        )
 
 
-def set_up(each: Arrival, session: str, target: Target) -> str:
+def set_up_request(arrival: Arrival, target: Target) -> str:
     """The platform's request for an arrival."""
-    home = sum(each.lesson.encode()) % target.positions
+    home = sum(arrival.title.encode()) % target.positions
     return (
-        f"SETUP rtsp://media/{each.lesson} RTSP/1.0\r\nCSeq: 1\r\nSession: {session}\r\nP-Kind: {each.cls}\r\n"
-        f"P-Time-Left: {target.left_ms}\r\nP-Path: home:{home};copies:3;top:{each.ceiling};"
-        f"viewer:{each.viewer:016x}\r\nX-Length: {each.length_us / 1_000:.1f}\r\nP-Billed: {each.tenant}\r\n"
+        f"SETUP rtsp://media/{arrival.title} RTSP/1.0\r\nCSeq: 1\r\nSession: {_session_id(arrival)}\r\n"
+        f"P-Kind: {arrival.session_class}\r\nP-Time-Left: {target.time_left_ms}\r\n"
+        f"P-Path: home:{home};copies:3;top:{arrival.highest_rung};viewer:{arrival.viewer:016x}\r\n"
+        f"X-Length: {arrival.length_us / 1_000:.1f}\r\nP-Billed: {arrival.tenant}\r\n"
         "Content-Length: 0\r\n\r\n"
     )
--- a/lotuspick/lab/load/trial.py
+++ b/lotuspick/lab/load/trial.py
@@ -1,5 +1,8 @@
-"""Whether what is measured is true: the generator against a stand-in broker whose delays are known, beside a client
-that waits for each answer before it asks again."""
+"""Whether what is measured is true.
+
+The generator against a fake broker whose latencies are known, beside clients that wait for each answer
+before they ask again.
+"""
 
 from __future__ import annotations
 
@@ -7,99 +10,129 @@
 import subprocess
 import sys
 import time
-from typing import Any
-
-from lotuspick.lab.load import standin
-from lotuspick.lab.load.arrivals import Kind, Load, Phase, drawn
-from lotuspick.lab.load.measure import Found
-from lotuspick.lab.load.sender import Sender, Target
-
-AT = (50.0, 99.0, 99.9)
-NEAR_PART, NEAR_US = 0.02, 1_000.0
+from collections.abc import Iterator, Mapping, Sequence
+from contextlib import contextmanager
+
+from lotuspick.lab.load import fake_broker
+from lotuspick.lab.load.arrivals import (
+    US_PER_S,
+    Arrival,
+    ClassShare,
+    LoadProfile,
+    Phase,
+    draw_arrivals,
+)
+from lotuspick.lab.load.measure import LoadMeasurement
+from lotuspick.lab.load.sender import SERVED, LoadSender, Target
+from lotuspick.lab.trial_result import Figures, Parameters, TrialResult
+
+PERCENTILES = (50.0, 99.0, 99.9)
+TOLERANCE_SHARE, TOLERANCE_US = 0.02, 1_000.0
+"""The larger of the two is an error of 1."""
+SESSION_CLASS, SESSION_LENGTH_S = "c", 600.0
+POSITIONS = 12
+WAITING_CLIENTS = 8
+
+
+def load(world: Parameters, arm: Parameters, seed: int) -> TrialResult:
+    """Run one trial.
+
+    Args:
+        world: Parameters of all arms.
+        arm: Parameters of this one: ``kind`` of the broker's delay, ``rate`` a second for ``seconds``.
+        seed: Of the arrivals.
+
+    Returns:
+        ``off``: the largest error of p50, p99 and p99.9, where 1 is the larger of 2% of the truth and 1 ms;
+        ``closed_off`` the same of clients that wait.
+    """
+    parameters = {**world, **arm}
+    kind, seconds, rate = parameters["kind"], parameters["seconds"], parameters["rate"]
+    classes = [ClassShare(SESSION_CLASS, 1.0, SESSION_LENGTH_S, SESSION_LENGTH_S)]
+    arrivals = list(draw_arrivals(LoadProfile([Phase("p", seconds, rate)], classes), seed))
+    truth = percentiles(_true_latencies_us(kind, arrivals))
+    measurement, error_count = asyncio.run(_measure_open_loop(kind, arrivals))
+    waiting = asyncio.run(_measure_waiting_clients(kind, seconds, rate))
+    figures: Figures = {
+        "voided": len(measurement.voided_seconds()),
+        "sent": len(arrivals),
+        "trouble": error_count,
+        "lag_p999_us": float(measurement.lag.get_value_at_percentile(99.9)),
+        **_comparison("", measurement.quantiles(SESSION_CLASS, SERVED, at=PERCENTILES), truth),
+        **_comparison("closed_", percentiles(waiting), truth),
+        **{f"true_p{at:g}_us": value for at, value in truth.items()},
+    }
+    return TrialResult(figures, {})
 
 
-def load(
-    told: dict[str, Any], arm: dict[str, Any], seed: int
-) -> tuple[dict[str, float], dict[str, list[float]]]:
-    """``kind`` of delay, ``rate`` a second for ``seconds``. ``off``: the largest error of p50, p99 and p99.9, where 1
-    is the larger of 2% of the truth and 1 ms; ``closed_off`` the same of a client that waits."""
-    told = {**told, **arm}
-    kinds = [Kind("c", 1.0, 600.0, 600.0)]
-    arrivals = list(drawn(Load([Phase("p", told["seconds"], told["rate"])], kinds), seed))
+def _true_latencies_us(kind: str, arrivals: Sequence[Arrival]) -> list[float]:
+    """What an ideal generator would measure, sorted."""
     first_us = arrivals[0].at_us
-    true_us = sorted(
-        each * 1e6
-        for each in standin.truth(told["kind"], [(each.at_us - first_us) / 1e6 for each in arrivals])
-    )
-    found, trouble = asyncio.run(against(told["kind"], arrivals))
-    closed = asyncio.run(waiting(told["kind"], told["seconds"], told["rate"]))
-    row: dict[str, float] = {
-        "voided": len(found.voided()),
-        "sent": len(arrivals),
-        "trouble": trouble,
-        "lag_p999_us": float(found.lag.get_value_at_percentile(99.9)),
+    due_s = [(arrival.at_us - first_us) / US_PER_S for arrival in arrivals]
+    return sorted(latency_s * US_PER_S for latency_s in fake_broker.true_latencies_s(kind, due_s))
+
+
+def _comparison(prefix: str, measured: Mapping[float, float], truth: Mapping[float, float]) -> Figures:
+    """Percentiles as measured, and the largest error."""
+    errors = [
+        abs(measured[at] - truth[at]) / max(TOLERANCE_SHARE * truth[at], TOLERANCE_US) for at in PERCENTILES
+    ]
+    return {
+        **{f"{prefix}p{at:g}_us": measured[at] for at in PERCENTILES},
+        f"{prefix}off": max(errors),
     }
-    measured = found.quantiles("c", "200", at=AT)
-    for name, values in (("", measured), ("closed_", {at: quantile(closed, at) for at in AT})):
-        worst = 0.0
-        for at in AT:
-            right = quantile(true_us, at)
-            worst = max(worst, abs(values[at] - right) / max(NEAR_PART * right, NEAR_US))
-            row[f"{name}p{at:g}_us"] = values[at]
-        row[f"{name}off"] = worst
-    row |= {f"true_p{at:g}_us": quantile(true_us, at) for at in AT}
-    return row, {}
 
 
-def quantile(ordered: list[float], at: float) -> float:
-    """The value that a percentage of a sorted sample lies at or below."""
-    return ordered[min(len(ordered) - 1, max(0, int(len(ordered) * at / 100 + 0.5) - 1))]
+def percentiles(ordered: Sequence[float]) -> dict[float, float]:
+    """The percentiles of a sorted sample that are compared: what so many percent lie at or below."""
+    last = len(ordered) - 1
+    return {at: ordered[min(last, max(0, int(len(ordered) * at / 100 + 0.5) - 1))] for at in PERCENTILES}
 
 
-def started(kind: str) -> tuple[subprocess.Popen[str], int]:
+@contextmanager
+def _running_fake_broker(kind: str) -> Iterator[int]:
+    """Run a fake broker; gives its port."""
     process = subprocess.Popen(
-        [sys.executable, "-m", "lotuspick.lab.load.standin", kind], stdout=subprocess.PIPE, text=True
+        [sys.executable, "-m", "lotuspick.lab.load.fake_broker", kind], stdout=subprocess.PIPE, text=True
     )
     assert process.stdout is not None
-    return process, int(process.stdout.readline())
-
-
-def ended(process: subprocess.Popen[str]) -> None:
-    process.terminate()
-    process.wait()
-    if process.stdout is not None:
-        process.stdout.close()
-
-
-async def against(kind: str, arrivals: list[Any]) -> tuple[Found, int]:
-    process, port = started(kind)
     try:
-        sender = Sender(arrivals, Target(port, 12))
-        return await sender.run(), sum(sender.trouble.values())
+        yield int(process.stdout.readline())
     finally:
-        ended(process)
+        process.terminate()
+        process.wait()
+        process.stdout.close()
 
 
-async def waiting(kind: str, seconds: float, rate: float) -> list[float]:
-    """Microseconds of each answer, by clients that send at the rate while answers are quick, and else wait."""
-    process, port = started(kind)
-    try:
-        clients = 8
-        took: list[float] = []
-
-        async def client(at: int) -> None:
-            reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            until_s, number = time.monotonic() + seconds, at + 1
-            while time.monotonic() < until_s:
-                sent_s = time.monotonic()
-                writer.write(f"SETUP rtsp://media/a RTSP/1.0\r\nSession: {number:016x}\r\n\r\n".encode())
-                await reader.readuntil(b"\r\n\r\n")
-                took.append((time.monotonic() - sent_s) * 1e6)
-                number += clients
-                await asyncio.sleep(max(0.0, clients / rate - (time.monotonic() - sent_s)))
-            writer.close()
-
-        await asyncio.gather(*(client(at) for at in range(clients)))
-        return sorted(took)
-    finally:
-        ended(process)
+async def _measure_open_loop(kind: str, arrivals: Sequence[Arrival]) -> tuple[LoadMeasurement, int]:
+    """What the generator measures, and how many connections failed."""
+    with _running_fake_broker(kind) as port:
+        sender = LoadSender(arrivals, Target(port, POSITIONS))
+        return await sender.run(), sender.connect_errors.total()
+
+
+async def _measure_waiting_clients(kind: str, seconds: float, rate: float) -> list[float]:
+    """Sorted latencies, in us, of clients that keep the rate while answers are fast, and else wait."""
+    took_us: list[float] = []
+    with _running_fake_broker(kind) as port:
+        clients = (
+            _run_waiting_client(port, index, seconds, WAITING_CLIENTS / rate, took_us)
+            for index in range(WAITING_CLIENTS)
+        )
+        await asyncio.gather(*clients)
+    return sorted(took_us)
+
+
+async def _run_waiting_client(
+    port: int, index: int, seconds: float, period_s: float, took_us: list[float]
+) -> None:
+    reader, writer = await asyncio.open_connection("127.0.0.1", port)
+    until_s, number = time.monotonic() + seconds, index + 1
+    while time.monotonic() < until_s:
+        sent_s = time.monotonic()
+        writer.write(f"SETUP rtsp://media/a RTSP/1.0\r\nSession: {number:016x}\r\n\r\n".encode())
+        await reader.readuntil(b"\r\n\r\n")
+        took_us.append((time.monotonic() - sent_s) * US_PER_S)
+        number += WAITING_CLIENTS
+        await asyncio.sleep(max(0.0, period_s - (time.monotonic() - sent_s)))
+    writer.close()
--- a/lotuspick/lab/rtsp.py
+++ b/lotuspick/lab/rtsp.py
@@ -27,10 +27,15 @@
         """Whether it answers a request, in place of being one."""
         return self.start_line.startswith("RTSP/1.0")
 
+    @property
+    def status_text(self) -> str:
+        """The status code of a response, as it was sent."""
+        return self.start_line[9:12]
+
     @property
     def status(self) -> int:
         """The status code of a response."""
-        return int(self.start_line[9:12])
+        return int(self.status_text)
 
     @property
     def reason(self) -> str:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -11,14 +11,14 @@
 from hypothesis import strategies as st
 
 from lotuspick.lab.load import trace
-from lotuspick.lab.load.arrivals import Arrival, Kind, Load, LoadError, Phase, drawn
-from lotuspick.lab.load.measure import ON_TIME, Found
+from lotuspick.lab.load.arrivals import Arrival, ClassShare, LoadError, LoadProfile, Phase, draw_arrivals
+from lotuspick.lab.load.measure import ON_TIME, LoadMeasurement
 
-KINDS = [Kind("repaso", 0.65, 15.0, 46.0), Kind("asistencia", 0.35, 22.0, 65.0)]
+CLASSES = [ClassShare("repaso", 0.65, 15.0, 46.0), ClassShare("asistencia", 0.35, 22.0, 65.0)]
 
 
 def load(*phases: Phase) -> list[Arrival]:
-    return list(drawn(Load(phases, KINDS, lessons=50, tenants=5), 7))
+    return list(draw_arrivals(LoadProfile(phases, CLASSES, titles=50, tenants=5), 7))
 
 
 def part(arrivals: list[Arrival], from_s: float, to_s: float) -> int:
@@ -27,15 +27,17 @@
 
 class Arrivals(unittest.TestCase):
     def test_the_same_seed_draws_the_same_and_phases_follow_one_another(self) -> None:
-        phases = (Phase("calm", 10.0, 50.0), Phase("crowd", 10.0, 50.0, lesson="exam", crowd=0.5))
+        phases = (Phase("calm", 10.0, 50.0), Phase("crowd", 10.0, 50.0, crowd_title="exam", crowd_share=0.5))
         found = load(*phases)
         self.assertEqual(found, load(*phases))
         self.assertEqual([each.at_us for each in found], sorted(each.at_us for each in found))
-        crowded = [each for each in found if each.lesson == "exam"]
+        crowded = [each for each in found if each.title == "exam"]
         self.assertTrue(all(each.phase == "crowd" and each.at_us >= 10e6 for each in crowded))
         self.assertAlmostEqual(len(crowded), 250, delta=60)
         self.assertAlmostEqual(len(found), 1_000, delta=120)
-        self.assertTrue(all(22e6 <= each.length_us <= 65e6 for each in found if each.cls == "asistencia"))
+        self.assertTrue(
+            all(22e6 <= each.length_us <= 65e6 for each in found if each.session_class == "asistencia")
+        )
         self.assertEqual(len({each.session for each in found}), len(found))
 
     def test_each_shape_puts_its_requests_where_it_says(self) -> None:
@@ -47,7 +49,7 @@
         self.assertAlmostEqual(part(sine, 2.5, 7.5) / len(sine), 0.818, delta=0.05)
         closing = load(Phase("p", 10.0, 0.0, "closing", 600.0))
         self.assertAlmostEqual(part(closing, 9, 10) / len(closing), 0.5, delta=0.06)
-        even = load(Phase("p", 10.0, 20.0, even=True))
+        even = load(Phase("p", 10.0, 20.0, evenly_spaced=True))
         self.assertEqual(
             {later.at_us - each.at_us for each, later in zip(even, even[1:])} - {49_999, 50_000, 50_001},
             set(),
@@ -58,10 +60,10 @@
             (lambda: Phase("p", -1.0, 1.0), "seconds"),
             (lambda: Phase("p", 1.0, float("nan")), "rate"),
             (lambda: Phase("p", 1.0, 1.0, "saw"), "shape"),
-            (lambda: Phase("p", 1.0, 1.0, crowd=0.5), "crowd"),
-            (lambda: Kind("c", 0.5, 3.0, 2.0), "class c"),
-            (lambda: Load([Phase("p", 1, 1)], KINDS[:1]), "classes"),
-            (lambda: Load([], KINDS), "phases"),
+            (lambda: Phase("p", 1.0, 1.0, crowd_share=0.5), "crowd"),
+            (lambda: ClassShare("c", 0.5, 3.0, 2.0), "class c"),
+            (lambda: LoadProfile([Phase("p", 1, 1)], CLASSES[:1]), "classes"),
+            (lambda: LoadProfile([], CLASSES), "phases"),
         ):
             with self.assertRaisesRegex(LoadError, wanted):
                 made()
@@ -84,7 +86,7 @@
         back = trace.read(trace.write(found))
         first = found[0].at_us
         self.assertEqual(back.arrivals, [replace(each, at_us=each.at_us - first) for each in found])
-        self.assertEqual(back.faults, [])
+        self.assertEqual(back.defects, [])
 
     def test_gaps_clocks_that_were_set_ids_that_come_twice_and_broken_lines_are_told_by_line(self) -> None:
         back = trace.read(
@@ -102,7 +104,7 @@
             )
         )
         self.assertEqual(
-            [(each.line, each.kind) for each in back.faults],
+            [(each.line, each.kind) for each in back.defects],
             [(4, "broken"), (5, "clock"), (7, "gap"), (8, "twice"), (9, "broken"), (10, "broken")],
         )
         self.assertEqual(
@@ -141,47 +143,47 @@
 class Measures(unittest.TestCase):
     def test_a_stall_shows_whole_in_the_tail_and_a_client_that_waits_hides_it(self) -> None:
         """A thousand requests a second for 10 s; the broker answers in 2 ms, but stands still from 5.0 to 7.0 s."""
-        found, waits, clock = Found(), Found(), 0
+        found, waits, clock = LoadMeasurement(), LoadMeasurement(), 0
         for at in range(10_000):
             due = at * 1_000
-            found.sent(due, due)
-            found.answered(
+            found.record_sent(due, due)
+            found.record_outcome(
                 "c", "p", "200", due, max(due, 7_000_000 if 5_000_000 <= due < 7_000_000 else 0) + 2_000
             )
             clock = max(clock, due)
             if clock < 10_000_000 and waits.lag.get_total_count() < 5_000:
                 end = (7_000_000 if 5_000_000 <= clock < 7_000_000 else clock) + 2_000
-                waits.sent(clock, clock)
-                waits.answered("c", "p", "200", clock, end)
+                waits.record_sent(clock, clock)
+                waits.record_outcome("c", "p", "200", clock, end)
                 clock = end
         honest = found.settle().quantiles("c", "200", at=(50.0, 85.0, 99.0, 99.9))
-        self.assertEqual(found.verdict(), ON_TIME)
+        self.assertEqual(found.generator_verdict(), ON_TIME)
         for percentile, truth in ((50.0, 2_000), (85.0, 502_000), (99.0, 1_902_000), (99.9, 1_992_000)):
             self.assertAlmostEqual(honest[percentile], truth, delta=truth * 0.002 + 1_000)
         self.assertLess(waits.settle().quantiles("c", "200")[99.0], 3_000)
 
     def test_seconds_in_which_the_generator_fell_behind_are_void_and_said_to_be(self) -> None:
-        found = Found()
+        found = LoadMeasurement()
         for at in range(3_000):
             due = at * 1_000
             late = 50_000 if 1_000_000 <= due < 1_100_000 else 0
-            found.sent(due, due + late)
-            found.answered("c", "p", "200", due, due + late + 1_000)
+            found.record_sent(due, due + late)
+            found.record_outcome("c", "p", "200", due, due + late + 1_000)
         found.settle()
-        self.assertEqual(found.voided(), [1])
-        self.assertIn("fell behind in 1 of 3 seconds, which are void: 1", found.verdict())
+        self.assertEqual(found.voided_seconds(), [1])
+        self.assertIn("fell behind in 1 of 3 seconds, which are void: 1", found.generator_verdict())
         self.assertEqual(found.outcomes, {("c", "p", "200"): 2_000, ("c", "p", "voided"): 1_000})
         self.assertLess(found.quantiles("c", "200")[99.9], 1_100)
         self.assertGreater(found.lag.get_max_value(), 49_000)
 
     def test_histograms_of_processes_merge(self) -> None:
-        one, two = Found(), Found()
+        one, two = LoadMeasurement(), LoadMeasurement()
         for found, took in ((one, 1_000), (two, 9_000)):
             for at in range(100):
-                found.sent(at, at)
-                found.answered("c", "p", "200", at, at + took)
+                found.record_sent(at, at)
+                found.record_outcome("c", "p", "200", at, at + took)
             found.settle()
-        merged = Found.unpack(json.loads(json.dumps(one.pack()))).merge(two)
+        merged = LoadMeasurement.unpack(json.loads(json.dumps(one.pack()))).merge(two)
         self.assertEqual(merged.outcomes, {("c", "p", "200"): 200})
         self.assertAlmostEqual(merged.quantiles("c", "200", at=(25.0, 75.0))[75.0], 9_000, delta=10)
         self.assertEqual(merged.seconds[0].due, 200)
