--- a/lotuspick/lab/experiment/__init__.py
+++ b/lotuspick/lab/experiment/__init__.py
@@ -1,4 +1,5 @@
-"""Experiments: a TOML file names world, arms, seeds and measures; arms run on the same seeds and are compared in pairs.
+"""Experiments: arms run on the same seeds and are compared in pairs, as a TOML file says.
 
-``model`` reads the file, ``trials`` holds what an arm may play, ``run`` plays and writes table, chart and verdict.
+``experiment_file`` reads the file, ``trials`` holds what an arm may run, ``runner`` runs them,
+``evaluation`` judges the figures, and ``results`` writes table, chart and page.
 """
--- /dev/null
+++ b/lotuspick/lab/experiment/cell_trials.py
@@ -0,0 +1,282 @@
+"""Trials of cells on the emulator: a retry storm of one tenant, and moves of tenants under load.
+
+Service is in points of 100.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Sequence
+from dataclasses import dataclass, replace
+from typing import Any
+
+from lotuspick.cells.model import Move, Plan
+from lotuspick.lab.emulator.audit import Answer, DayAudit
+from lotuspick.lab.emulator.broker import KILLED_CAUSE
+from lotuspick.lab.emulator.link_meter import METER_US
+from lotuspick.lab.emulator.spec import (
+    SECOND_US,
+    Fault,
+    FaultKind,
+    FlashCrowd,
+    RetryStorm,
+    Spec,
+)
+from lotuspick.lab.emulator.world import World
+from lotuspick.lab.experiment.cell_plans import block_plan, cell_name
+from lotuspick.lab.trial_result import Figures, Parameters, TrialResult
+
+LARGE_TENANTS = 12
+"""A storm is one of the larger tenants': what a small one asks at 20 times is little."""
+MOVABLE_TENANTS = 60
+CROWD_RATE, CROWD_S = 1.5, 30.0
+MOVES_KNOWN_S, MOVES_CHANGED_S = 12.0, 15.0
+"""When the plan with the moves comes, and the one in which some of them have changed."""
+PREPARE_US, SHIFT_US, DRAIN_US = 3 * SECOND_US, 15 * SECOND_US, 70 * SECOND_US
+KILL_S = 1.0
+
+
+def parse_spec(world: Parameters) -> Spec:
+    """The day of an experiment's file.
+
+    Raises:
+        TypeError: A key is none of a day's.
+    """
+    values: dict[str, Any] = {
+        key: tuple(value) if isinstance(value, list) else value for key, value in world.items()
+    }
+    return Spec(**values)
+
+
+def draw_faults(spec: Spec, random_source: random.Random) -> tuple[Fault, ...]:
+    """A slow node, a dead one, a late endpoint list and mute notifications, somewhere in the day."""
+
+    def draw_times(duration_s: float) -> tuple[float, float]:
+        start_s = random_source.uniform(20.0, spec.day_s - duration_s - 10.0)
+        return start_s, start_s + duration_s
+
+    return (
+        Fault(FaultKind.NODE_SLOW, *draw_times(12.0), random_source.randrange(spec.nodes)),
+        Fault(FaultKind.NODE_DEAD, *draw_times(15.0), random_source.randrange(spec.nodes)),
+        Fault(FaultKind.ENDPOINT_LIST_LATE, *draw_times(15.0)),
+        Fault(FaultKind.NOTIFICATIONS_MUTE, *draw_times(8.0)),
+    )
+
+
+# ---- a retry storm ----------------------------------------------------------------------------------------
+
+
+def cells(world: Parameters, arm: Parameters, seed: int) -> TrialResult:
+    """A day with or without a retry storm of one tenant, with or without cells and budgets.
+
+    Args:
+        world: The day.
+        arm: ``plan`` (``none``, ``cells`` or ``budgets``), ``troubles`` and ``storm`` (whether there are
+            any), and ``times``, ``leaks`` and ``marked`` of the storm.
+        seed: Of all random choices.
+
+    Returns:
+        ``others``: service of the tenants of other cells; ``same``: of the other tenants of its cell;
+        ``own``: its own viewers'.
+    """
+    spec = parse_spec(world)
+    random_source = random.Random(f"storm {seed}")
+    tenant = f"t{random_source.randrange(LARGE_TENANTS):03d}"
+    if arm.get("troubles"):
+        spec = replace(spec, faults=draw_faults(spec, random_source))
+    if arm.get("storm"):
+        spec = replace(spec, storms=(_storm(spec, tenant, arm),))
+    day = World(spec, seed)
+    if arm["plan"] != "none":
+        day = World(spec, seed, [(0.0, block_plan(day, arm["plan"] == "budgets"))])
+    audit = day.play().audit
+    figures: Figures = {
+        **_service_by_group(day, audit, tenant),
+        "broken": float(len(audit.violations)),
+        "requests": float(audit.requests[tenant]),
+        "nodes": float(len(audit.nodes_by_tenant.get(tenant, ()))),
+        "refused": float(audit.answers[Answer.REJECTED]),
+    }
+    return TrialResult(figures, {})
+
+
+def _storm(spec: Spec, tenant: str, arm: Parameters) -> RetryStorm:
+    return RetryStorm(
+        tenant,
+        spec.measure_from_s + 5,
+        spec.day_s - 5,
+        float(arm.get("times", 20.0)),
+        float(arm.get("leaks", 1.0)),
+        bool(arm.get("marked", True)),
+    )
+
+
+def _service_by_group(day: World, audit: DayAudit, tenant: str) -> Figures:
+    """Service of the tenants of other cells, of the others of a tenant's cell, of its own, and of all."""
+    names, blocks = day.tenants.names, day.tenants.blocks
+    groups = {
+        "others": {name for name in names if blocks[name] != blocks[tenant]},
+        "same": {name for name in names if blocks[name] == blocks[tenant] and name != tenant},
+        "own": {tenant},
+        "all": set(names),
+    }
+    return {name: 100 * audit.service(group) for name, group in groups.items()}
+
+
+# ---- moves ------------------------------------------------------------------------------------------------
+
+
+@dataclass(frozen=True, slots=True)
+class MoveSchedule:
+    """Moves as they are declared, and as they stand once some of them have changed."""
+
+    declared: Sequence[Move]
+    changed: Sequence[Move]
+
+    def drain_starts_us(self) -> dict[str, int]:
+        """When the shift of each move ends, by tenant, of those that did not change."""
+        return {
+            move.tenant: move.start_us
+            + move.prepare_us
+            + move.shift_us
+            + sum(end_us - start_us for start_us, end_us in move.pauses)
+            for move in self.declared
+            if self._is_unchanged(move)
+        }
+
+    def _is_unchanged(self, move: Move) -> bool:
+        of_tenant = [changed for changed in self.changed if changed.tenant == move.tenant]
+        return len(of_tenant) == 1 and not of_tenant[0].back_us
+
+
+def draw_moves(scout: World, tenants: Sequence[str], random_source: random.Random) -> MoveSchedule:
+    """Draw moves of tenants to the next cell.
+
+    Of five, one is moved back home before its move is done, one is rolled back and one is paused.
+    ``scout`` says where the tenants are.
+    """
+    declared: list[Move] = []
+    changed: list[Move] = []
+    for index, tenant in enumerate(tenants):
+        home = scout.tenants.blocks[tenant]
+        target = cell_name((home + 1) % scout.spec.cells)
+        start_us = int(random_source.uniform(16.0, 45.0) * SECOND_US)
+        is_paused, is_moved_home, is_rolled_back = index % 5 == 3, index % 5 == 1, index % 5 == 2
+        pauses = ((start_us + 8 * SECOND_US, start_us + 12 * SECOND_US),) if is_paused else ()
+        move = Move(tenant, target, 1, start_us, PREPARE_US, SHIFT_US, DRAIN_US, pauses)
+        declared.append(move)
+        changed.append(replace(move, back_us=start_us + 11 * SECOND_US) if is_rolled_back else move)
+        if is_moved_home:
+            home_us = start_us + 12 * SECOND_US
+            changed.append(Move(tenant, cell_name(home), 2, home_us, 2 * SECOND_US, 10 * SECOND_US, DRAIN_US))
+    return MoveSchedule(declared, changed)
+
+
+class DrainObserver:
+    """Measures how long sessions of moved tenants stay in the cells that they left."""
+
+    def __init__(self, day: World, drain_starts_us: dict[str, int]) -> None:
+        self.drains_s: dict[str, float] = {}
+        """By tenant: from the end of the shift until nothing plays in the former cell."""
+        self._day = day
+        self._drain_starts_us = drain_starts_us
+
+    def observe(self) -> None:
+        """Look at the former cells of all tenants whose shift is over."""
+        now_us = self._day.simulation.now_us
+        for tenant, start_us in self._drain_starts_us.items():
+            if now_us < start_us:
+                continue
+            if self._plays_in_former_cell(tenant):
+                self.drains_s[tenant] = (now_us + METER_US - start_us) / SECOND_US
+            else:
+                self.drains_s.setdefault(tenant, 0.0)
+
+    def _plays_in_former_cell(self, tenant: str) -> bool:
+        size, block = self._day.spec.block_size, self._day.tenants.blocks[tenant]
+        nodes = self._day.cluster.nodes[block * size : (block + 1) * size]
+        return any(
+            stream.viewer.intent.tenant == tenant for node in nodes for stream in node.streams.values()
+        )
+
+
+def moves(world: Parameters, arm: Parameters, seed: int) -> TrialResult:
+    """Ten moves under load, half of them in a crowd, with brokers killed and brokers that hear late.
+
+    Args:
+        world: The day.
+        arm: ``moves``, ``kills`` and ``stale`` (how many), ``troubles`` (whether there are other faults),
+            ``still`` (the same day without the moves).
+        seed: Of all random choices.
+
+    Returns:
+        Sample ``drain``: seconds from the end of the shift until nothing plays in the cell that was left.
+    """
+    spec = parse_spec(world)
+    random_source = random.Random(f"moves {seed}")
+    count, is_still = int(arm.get("moves", 10)), bool(arm.get("still"))
+    tenants = [f"t{index:03d}" for index in random_source.sample(range(MOVABLE_TENANTS), count)]
+    scout = World(replace(spec, wide=tuple(tenants)), seed)
+    schedule = draw_moves(scout, tenants, random_source)
+    spec = replace(
+        spec,
+        crowds=_crowds(schedule.declared[: count // 2]),
+        faults=_draw_move_faults(spec, arm, random_source),
+        wide=tuple(tenants),
+    )
+    plans = _plans(scout, schedule)
+    day = World(spec, seed, plans[:1] if is_still else plans)
+    observer = DrainObserver(day, schedule.drain_starts_us())
+    day.meter.observers.append(observer.observe)
+    audit = day.play().audit
+    figures = {
+        "moves": 0.0 if is_still else float(len(schedule.changed)),
+        **_move_figures(audit, set(tenants)),
+    }
+    return TrialResult(figures, {"drain": [] if is_still else list(observer.drains_s.values())})
+
+
+def _crowds(moves: Sequence[Move]) -> tuple[FlashCrowd, ...]:
+    """A crowd at each tenant from the start of its move on."""
+    return tuple(
+        FlashCrowd(move.tenant, move.start_us / SECOND_US, move.start_us / SECOND_US + CROWD_S, CROWD_RATE)
+        for move in moves
+    )
+
+
+def _draw_move_faults(spec: Spec, arm: Parameters, random_source: random.Random) -> tuple[Fault, ...]:
+    """Brokers that are killed or hear late of a plan, and other faults if the arm asks for them."""
+    faults: list[Fault] = []
+    for _ in range(int(arm.get("kills", 2))):
+        at_s = random_source.uniform(18.0, 70.0)
+        broker = random_source.randrange(spec.brokers)
+        faults.append(Fault(FaultKind.BROKER_KILLED, at_s, at_s + KILL_S, broker))
+    for _ in range(int(arm.get("stale", 2))):
+        end_s = random_source.uniform(25.0, 60.0)
+        broker = random_source.randrange(spec.brokers)
+        faults.append(Fault(FaultKind.PLAN_STALE, 10.0, end_s, broker))
+    if arm.get("troubles"):
+        faults += draw_faults(spec, random_source)
+    return tuple(faults)
+
+
+def _plans(scout: World, schedule: MoveSchedule) -> list[tuple[float, Plan]]:
+    return [
+        (0.0, block_plan(scout)),
+        (MOVES_KNOWN_S, block_plan(scout, epoch=2, moves=schedule.declared)),
+        (MOVES_CHANGED_S, block_plan(scout, epoch=3, moves=schedule.changed)),
+    ]
+
+
+def _move_figures(audit: DayAudit, moved: set[str]) -> Figures:
+    dropped = sum(times for cause, times in audit.ends.items() if cause.startswith("dropped"))
+    twice = sum(times > 1 for times in audit.paid_set_ups.values())
+    return {
+        "dropped": float(dropped),
+        "twice": float(twice),
+        "broken": float(len(audit.violations)),
+        "service": 100 * audit.service(),
+        "moving": 100 * audit.service(moved),
+        "sessions": float(audit.answers[Answer.SERVED]),
+        "cut by kills": float(audit.ends[KILLED_CAUSE]),
+    }
--- a/lotuspick/lab/experiment/cost.py
+++ b/lotuspick/lab/experiment/cost.py
@@ -1,5 +1,8 @@
-"""What a guide costs: the same stream of sessions through a core with cells and through one without, step by step in
-turn, so that whatever else the machine does falls on both."""
+"""What cells cost.
+
+The same stream of sessions goes through decisions with cells and through decisions without, step by step
+in turn, so that whatever else the machine does falls on both.
+"""
 
 from __future__ import annotations
 
@@ -8,12 +11,14 @@
 import random
 import resource
 import time
+from collections.abc import Sequence
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from lotuspick.cells.constraints import CellConstraints
 from lotuspick.cells.plan_file import parse
-from lotuspick.core.actions import Action, FailSession, ForwardAttempt, RejectSession, StartTimer
+from lotuspick.core.actions import Action, ForwardAttempt, RejectSession, StartTimer
 from lotuspick.core.controller import Controller
 from lotuspick.core.events import (
     AttemptEnded,
@@ -26,137 +31,242 @@
     SessionStarted,
     TimerFired,
 )
-from lotuspick.lab.emulator.spec import SECOND_US, Spec
+from lotuspick.lab.emulator.spec import (
+    CLASSES,
+    IDEMPOTENT_CLASS,
+    NODE_KIND,
+    PAID_CLASS,
+    SECOND_US,
+    ZONES,
+    Spec,
+)
+from lotuspick.lab.trial_result import Parameters, TrialResult
 
 STEP_US = 10_000
+START_US = 10 * SECOND_US
+SET_UP_US, NOTIFIED_US = 80_000, 90_000
+LINK_LOAD = 0.5
+CELL_COUNT, RACKS, TITLES, HIGHEST_RUNG = 6, 10, 6, 3
+HASHED_CELL_NODES = 5
+REQUEST_PROBABILITY = 0.12
+"""Of a request in a step."""
+TENANT_SHAPE = 0.6
+"""Of the Pareto distribution of requests over tenants."""
+DEADLINE_US, LENGTH_HINT_US = 4 * SECOND_US, 30e6
+WARM_UP_PART = 5
+"""One in so many sessions goes before those that are measured."""
 FIFTHS = 5
+NAMES_PER_READING = 500
+NAME_INTERVAL_US = 100
+BYTES_PER_MIB = 2**20
 
 
-def resident_mib() -> float:
-    """What the process holds in memory now."""
-    pages = int(Path("/proc/self/statm").read_text(encoding="ascii").split()[1])
-    return pages * resource.getpagesize() / 2**20
+@dataclass(frozen=True, slots=True)
+class CostParameters:
+    """Parameters of an arm."""
 
+    nodes: int = 60
+    tenants: int = 1_000
+    sessions: int = 6_000
+    copies: int = 4
+    names: int = 1_000_000
+    """Invented names that are thrown at the constraints."""
+    hashed: bool = False
+    """Whether cells are drawn by hash, in place of blocks of positions."""
 
-class Side:
-    """One core with the world that answers it: set-ups stand after 80 ms and end as they should."""
+    @classmethod
+    def from_arm(cls, arm: Parameters) -> CostParameters:
+        """The parameters of an arm."""
+        return cls(**{name: value for name, value in arm.items() if name in cls.__dataclass_fields__})
 
-    def __init__(self, core: Controller) -> None:
-        self.core, self.due, self.made = core, list[tuple[int, int, Event]](), 0
-        self.seconds, self.lengths, self.answers = 0.0, dict[str, int](), 0
 
-    def after(self, at_us: int, event: Event) -> None:
-        self.made += 1
-        heapq.heappush(self.due, (at_us, self.made, event))
+class _ScheduledEvent(NamedTuple):
+    at_us: int
+    number: int
+    event: Event
 
-    def step(self, now: int, events: list[Event]) -> None:
-        """Hand over what is due, timed."""
-        events = list(events)
-        while self.due and self.due[0][0] <= now:
-            events.append(heapq.heappop(self.due)[2])
+
+class TimedDecisions:
+    """Decisions whose time is taken, with the world that answers them: all set-ups succeed."""
+
+    def __init__(self, decisions: Controller) -> None:
+        self.seconds = 0.0
+        """Time that the decisions took."""
+        self.lengths_us: dict[str, int] = {}
+        """How long sessions play, by their names."""
+        self._decisions = decisions
+        self._schedule: list[_ScheduledEvent] = []
+        self._scheduled_count = 0
+
+    def step(self, now_us: int, new_events: Sequence[Event]) -> None:
+        """Hand over new events and those that are due, timed."""
+        events = list(new_events)
+        while self._schedule and self._schedule[0].at_us <= now_us:
+            events.append(heapq.heappop(self._schedule).event)
         if not events:
             return
-        begin = time.perf_counter()
-        actions = self.core.handle(now, events)
-        self.seconds += time.perf_counter() - begin
+        began_s = time.perf_counter()
+        actions = self._decisions.handle(now_us, events)
+        self.seconds += time.perf_counter() - began_s
         for action in actions:
-            self.act(now, action)
+            self._answer(now_us, action)
 
-    def act(self, now: int, action: Action) -> None:
+    def _answer(self, now_us: int, action: Action) -> None:
         match action:
             case StartTimer():
-                self.after(now + max(1, action.delay_us), TimerFired(action.timer_id))
+                due_us = now_us + max(1, action.delay_us)
+                self._schedule_event(due_us, TimerFired(action.timer_id))
             case ForwardAttempt():
-                name, server = action.session, action.server
-                self.after(now + 80_000, SessionStarted(name, 0, server, 80_000))
-                self.after(now + 90_000, SessionNotification(name, server, "link", 0.5))
-                self.after(
-                    now + self.lengths[name],
-                    AttemptEnded(name, 0, server, AttemptOutcome.SERVED, True, load_report={"link": 0.5}),
-                )
-            case RejectSession() | FailSession():
-                self.answers += 1
-
-
-def cost(
-    told: dict[str, Any], arm: dict[str, Any], seed: int
-) -> tuple[dict[str, float], dict[str, list[float]]]:
-    """``ratio``: mean time of the decisions on a session, its outcomes included, with cells over without.
-    ``grown``: MiB by which the process's peak in the last fifth of the names thrown at the guide lies above that in the
-    second fifth: peaks, since tables that fill and are emptied move what it holds at any one time."""
-    nodes, tenants, sessions = (
-        int(arm.get(key, usual)) for key, usual in (("nodes", 60), ("tenants", 1_000), ("sessions", 6_000))
-    )
-    size = nodes // 6
-    blocks = {f"c{at}": {"positions": [f"{at * size}-{at * size + size - 1}"]} for at in range(6)}
-    text: dict[str, Any] = {"cells": blocks}
-    if arm.get("hashed"):
-        text = {"cells": {f"c{at}": {"shuffle": 5} for at in range(6)}}
-    settings = Spec(nodes=nodes, racks=10).settings("norte")
-    sides = [Side(Controller(settings, seed, guide)) for guide in (None, CellConstraints(parse(text), nodes))]
-    roster = ServerListUpdate(
-        [ServerEntry(f"m-{at}", "norte", "nodo-2c", at) for at in range(nodes)], complete=True
-    )
-    for side in sides:
-        side.step(0, [roster])
-    draw, now, asked = random.Random(f"cost {seed}"), 10 * SECOND_US, 0
-    warm = sessions // 5
-    gc.collect()
-    while asked < sessions:
-        now += STEP_US
-        events: list[Event] = []
-        if draw.random() < 0.12:
-            asked += 1
-            tenant = f"t{min(int(draw.paretovariate(0.6)), tenants)}"
-            cls, lesson = draw.choice(["repaso", "repaso", "asistencia"]), draw.randrange(6)
-            home = random.Random(f"{tenant} {lesson}").randrange(nodes)
-            for side in sides:
-                side.lengths[f"s{asked}"] = int(draw.uniform(15, 46) * SECOND_US)
-            events.append(
-                SessionRequest(
-                    f"s{asked}",
-                    cls,
-                    f"{tenant}-{lesson}",
-                    home,
-                    int(arm.get("copies", 4)),
-                    3,
-                    now + 4 * SECOND_US,
-                    30e6,
-                    f"v{asked}",
-                    tenant,
-                )
-            )
-        if asked == warm:
-            for side in sides:
-                side.seconds = 0.0
-        for side in sides if asked % 2 else reversed(sides):
-            side.step(now, events)
-    without, within = (side.seconds / (sessions - warm) * 1e6 for side in sides)
-    guide = CellConstraints(parse(text), nodes)
-    guide.on_event(0, roster)
-    peaks = [0.0] * FIFTHS
-    names = int(arm.get("names", 1_000_000))
-    for at in range(names):
-        if at % 500 == 0:
-            fifth = at * FIFTHS // names
-            peaks[fifth] = max(peaks[fifth], resident_mib())
-        ask = SessionRequest(
-            f"n{at}",
-            "repaso",
-            f"l{at}",
-            at % nodes,
-            4,
-            3,
-            now + 4 * SECOND_US,
-            30e6,
-            f"w{at}",
-            f"made-up-{at}",
+                self._play(now_us, action.session, action.server)
+            case _:
+                pass
+
+    def _play(self, now_us: int, session: str, server: str) -> None:
+        """The session starts, is notified once, and ends."""
+        started = SessionStarted(session, 0, server, SET_UP_US)
+        notified = SessionNotification(session, server, "link", LINK_LOAD)
+        ended = AttemptEnded(session, 0, server, AttemptOutcome.SERVED, True, load_report={"link": LINK_LOAD})
+        self._schedule_event(now_us + SET_UP_US, started)
+        self._schedule_event(now_us + NOTIFIED_US, notified)
+        self._schedule_event(now_us + self.lengths_us[session], ended)
+
+    def _schedule_event(self, at_us: int, event: Event) -> None:
+        self._scheduled_count += 1
+        heapq.heappush(self._schedule, _ScheduledEvent(at_us, self._scheduled_count, event))
+
+
+def cost(world: Parameters, arm: Parameters, seed: int) -> TrialResult:
+    """Run one trial.
+
+    Args:
+        world: Unused.
+        arm: :class:`CostParameters`.
+        seed: Of the stream of sessions.
+
+    Returns:
+        ``ratio``: mean time of the decisions on a session, its outcomes included, with cells over
+        without. ``grown``: MiB by which the process's peak in the last fifth of the names thrown at the
+        constraints lies above that in the second fifth: peaks, since tables that fill and are emptied
+        move what it holds at any one time.
+    """
+    del world
+    parameters = CostParameters.from_arm(arm)
+    stream = SessionStream(parameters, seed)
+    without_us, within_us = stream.run()
+    figures = {
+        "without_us": without_us,
+        "within_us": within_us,
+        "ratio": within_us / without_us,
+        "grown": _memory_growth_mib(parameters, stream.now_us),
+    }
+    return TrialResult(figures, {})
+
+
+def _create_constraints(parameters: CostParameters) -> CellConstraints:
+    """Cells drawn by hash, or as blocks of positions."""
+    size = parameters.nodes // CELL_COUNT
+    cells: dict[str, Any] = {
+        f"c{index}": {"shuffle": HASHED_CELL_NODES}
+        if parameters.hashed
+        else {"positions": [f"{index * size}-{index * size + size - 1}"]}
+        for index in range(CELL_COUNT)
+    }
+    return CellConstraints(parse({"cells": cells}), parameters.nodes)
+
+
+def _endpoint_list(parameters: CostParameters) -> ServerListUpdate:
+    entries = [ServerEntry(f"m-{index}", ZONES[0], NODE_KIND, index) for index in range(parameters.nodes)]
+    return ServerListUpdate(entries, complete=True)
+
+
+class SessionStream:
+    """A stream of sessions through decisions without cells and with them."""
+
+    def __init__(self, parameters: CostParameters, seed: int) -> None:
+        settings = Spec(nodes=parameters.nodes, racks=RACKS).settings(ZONES[0])
+        self.now_us = START_US
+        self._parameters = parameters
+        self._random = random.Random(f"cost {seed}")
+        self._without = TimedDecisions(Controller(settings, seed, None))
+        self._within = TimedDecisions(Controller(settings, seed, _create_constraints(parameters)))
+        self._request_count = 0
+
+    def run(self) -> tuple[float, float]:
+        """Run all sessions; returns the mean time of a session's decisions without and with cells, in us."""
+        both = (self._without, self._within)
+        for decisions in both:
+            decisions.step(0, [_endpoint_list(self._parameters)])
+        warm_up = self._parameters.sessions // WARM_UP_PART
+        gc.collect()
+        while self._request_count < self._parameters.sessions:
+            self.now_us += STEP_US
+            events: list[Event] = []
+            if self._random.random() < REQUEST_PROBABILITY:
+                events.append(self._draw_request())
+            if self._request_count == warm_up:
+                for decisions in both:
+                    decisions.seconds = 0.0
+            for decisions in both if self._request_count % 2 else reversed(both):
+                decisions.step(self.now_us, events)
+        measured = self._parameters.sessions - warm_up
+        return self._without.seconds / measured * 1e6, self._within.seconds / measured * 1e6
+
+    def _draw_request(self) -> SessionRequest:
+        self._request_count += 1
+        session = f"s{self._request_count}"
+        tenant = f"t{min(int(self._random.paretovariate(TENANT_SHAPE)), self._parameters.tenants)}"
+        session_class = self._random.choice([IDEMPOTENT_CLASS, IDEMPOTENT_CLASS, PAID_CLASS])
+        title = self._random.randrange(TITLES)
+        home = random.Random(f"{tenant} {title}").randrange(self._parameters.nodes)
+        for decisions in (self._without, self._within):
+            length_s = self._random.uniform(*CLASSES[IDEMPOTENT_CLASS].length_s)
+            decisions.lengths_us[session] = int(length_s * SECOND_US)
+        return SessionRequest(
+            session=session,
+            session_class=session_class,
+            title=f"{tenant}-{title}",
+            home_position=home,
+            copies=self._parameters.copies,
+            highest_rung=HIGHEST_RUNG,
+            deadline_us=self.now_us + DEADLINE_US,
+            length_us=LENGTH_HINT_US,
+            viewer=f"v{self._request_count}",
+            tenant=tenant,
         )
-        guide.constraint_for(now + at * 100, ask)
-        guide.on_event(now + at * 100, RejectSession(f"n{at}"))
-    return {
-        "without_us": without,
-        "within_us": within,
-        "ratio": within / without,
-        "grown": peaks[-1] - peaks[1],
-    }, {}
+
+
+def _memory_growth_mib(parameters: CostParameters, start_us: int) -> float:
+    """Throw invented names at constraints.
+
+    Returns:
+        How much the peak of the process grew from the second to the last fifth of the names.
+    """
+    constraints = _create_constraints(parameters)
+    constraints.on_event(0, _endpoint_list(parameters))
+    peaks_mib = [0.0] * FIFTHS
+    for number in range(parameters.names):
+        if number % NAMES_PER_READING == 0:
+            fifth = number * FIFTHS // parameters.names
+            peaks_mib[fifth] = max(peaks_mib[fifth], resident_mib())
+        now_us = start_us + number * NAME_INTERVAL_US
+        request = SessionRequest(
+            session=f"n{number}",
+            session_class=IDEMPOTENT_CLASS,
+            title=f"l{number}",
+            home_position=number % parameters.nodes,
+            copies=4,
+            highest_rung=HIGHEST_RUNG,
+            deadline_us=start_us + DEADLINE_US,
+            length_us=LENGTH_HINT_US,
+            viewer=f"w{number}",
+            tenant=f"made-up-{number}",
+        )
+        constraints.constraint_for(now_us, request)
+        constraints.on_event(now_us, RejectSession(f"n{number}"))
+    return peaks_mib[-1] - peaks_mib[1]
+
+
+def resident_mib() -> float:
+    """What the process holds in memory now."""
+    resident_pages = int(Path("/proc/self/statm").read_text(encoding="ascii").split()[1])
+    return resident_pages * resource.getpagesize() / BYTES_PER_MIB
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -16,8 +16,9 @@
 from lotuspick.core.placement import Placement
 from lotuspick.lab.emulator.spec import Fault, FaultKind, RetryStorm, Spec
 from lotuspick.lab.emulator.world import World, play
-from lotuspick.lab.experiment import model, run
-from lotuspick.lab.experiment.trials import blocks, moves
+from lotuspick.lab.experiment import evaluation, experiment_file
+from lotuspick.lab.experiment.cell_plans import block_plan
+from lotuspick.lab.experiment.cell_trials import moves
 from lotuspick.routing.message_handlers import MessageHandlers
 
 SMALL = Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, measure_from_s=10.0)
@@ -43,7 +44,7 @@
                 "faults": NOISE,
             }
         )
-        plans = [(0.0, blocks(World(spec, 3)))]
+        plans = [(0.0, block_plan(World(spec, 3)))]
         days = [play(spec, 3, plans) for _ in range(2)]
         self.assertEqual(days[0].audit.values, days[1].audit.values)
         self.assertEqual(days[0].operator_events, days[1].operator_events)
@@ -62,7 +63,7 @@
     def test_a_tenant_reaches_only_its_cell(self) -> None:
         spec = Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, strays=0.0, copies=(3, 8))
         world = World(spec, 5)
-        day = play(spec, 5, [(0.0, blocks(world))])
+        day = play(spec, 5, [(0.0, block_plan(world))])
         for tenant, nodes in day.audit.nodes_by_tenant.items():
             block = world.tenants.blocks[tenant]
             self.assertLessEqual(nodes, {f"m-{at:02d}" for at in range(4 * block, 4 * block + 4)})
@@ -105,12 +106,23 @@
 
 
 class Experiments(unittest.TestCase):
-    def weigh(self, values: list[float], minus: list[float], **bounds: Any) -> run.Figure:
-        measure = model.Measure("m", "x", "a", "b", **bounds)
-        made = model.Experiment("e", "", "cells", {}, {"a": {}, "b": {}}, (measure,), (1, 2), (1, 2))
+    def weigh(self, values: list[float], minus: list[float], **bounds: Any) -> evaluation.MeasuredValue:
+        measure = experiment_file.Measure("m", "x", "a", "b", **bounds)
+        made = experiment_file.Experiment(
+            "e",
+            "",
+            "cells",
+            {},
+            {"a": {}, "b": {}},
+            (measure,),
+            experiment_file.SeedRange(1, 2),
+            experiment_file.SeedRange(1, 2),
+        )
         rows = {"a": [{"x": value} for value in values], "b": [{"x": value} for value in minus]}
-        [figure] = run.weigh(made, rows)
-        self.assertIn("holds" if figure.holds else "falls short", run.verdict(made, [figure], [1, 2])[1])
+        [figure] = evaluation.evaluate(made, rows)
+        self.assertIn(
+            "holds" if figure.holds else "falls short", evaluation.judge(made, [figure], [1, 2]).line
+        )
         return figure
 
     def test_differences_are_paired_and_bounds_are_of_the_interval(self) -> None:
@@ -131,12 +143,12 @@
                 ),
             ):
                 Path(folder, "bad.toml").write_text(text)
-                with self.assertRaisesRegex(model.ExperimentError, wanted):
-                    model.load("bad", Path(folder))
+                with self.assertRaisesRegex(experiment_file.ExperimentError, wanted):
+                    experiment_file.load("bad", Path(folder))
 
     def test_every_experiment_of_the_project_can_be_read_and_the_command_says_what_is_wrong(self) -> None:
-        for name in model.names(ROOT / "experiments"):
-            self.assertTrue(model.load(name, ROOT / "experiments").measures)
+        for name in experiment_file.names(ROOT / "experiments"):
+            self.assertTrue(experiment_file.load(name, ROOT / "experiments").measures)
         done = subprocess.run(
             [sys.executable, "-m", "lotuspick", "lab", "verify", "nothing"],
             cwd=ROOT,
