--- a/lotuspick/lab/fleet/trial.py
+++ b/lotuspick/lab/fleet/trial.py
@@ -12,6 +12,7 @@
 import tempfile
 import time
 from collections.abc import Collection, Sequence
+from enum import StrEnum
 from pathlib import Path
 
 from lotuspick.lab.errors import ConditionTimeoutError
@@ -31,6 +32,15 @@
 SET_UPS_AFTER_TAKEOVER = 200
 
 
+class TrialKind(StrEnum):
+    """What a trial asks; the values are those of the key ``kind``."""
+
+    SCENARIO = "story"
+    NAME_CONFLICT = "names"
+    COST = "cost"
+    SERVING = "serving"
+
+
 def fleet(world: Parameters, arm: Parameters, seed: int) -> TrialResult:
     """Run one trial.
 
@@ -49,11 +59,11 @@
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         match parameters["kind"]:
-            case "story":
+            case TrialKind.SCENARIO:
                 return _run_scenario_trial(folder, parameters, seed)
-            case "names":
+            case TrialKind.NAME_CONFLICT:
                 return _run_name_conflict_trial(folder, parameters, seed)
-            case "cost":
+            case TrialKind.COST:
                 return _run_cost_trial(folder, parameters, seed)
             case _:
                 return _run_serving_trial(folder, parameters, seed)
--- a/lotuspick/lab/net/trial.py
+++ b/lotuspick/lab/net/trial.py
@@ -4,6 +4,7 @@
 
 import statistics
 import sys
+from enum import StrEnum
 
 from lotuspick.lab.net.fault_scenario import draw_scenario, recovery_faults, to_toml
 from lotuspick.lab.net.simulated_fleet import SECOND_US, MeteredFleet, SimulatedFleet
@@ -25,6 +26,14 @@
 SECONDS_PER_HOUR = 3_600
 
 
+class TrialKind(StrEnum):
+    """What a trial asks; the values are those of the key ``kind``."""
+
+    DEATH = "death"
+    LOSS = "loss"
+    SCENARIO = "faults"
+
+
 def membership(world: Parameters, arm: Parameters, seed: int) -> TrialResult:
     """Run one trial.
 
@@ -40,18 +49,20 @@
     parameters = {**world, **arm}
     kind = parameters["kind"]
     count = _number(parameters, "brokers")
-    clock_rates = DRIFTING_CLOCKS if kind == "faults" else EQUAL_CLOCKS
-    fleet = (MeteredFleet if kind == "death" else SimulatedFleet)(count, seed, clock_rates=clock_rates)
+    clock_rates = DRIFTING_CLOCKS if kind == TrialKind.SCENARIO else EQUAL_CLOCKS
+    fleet = (MeteredFleet if kind == TrialKind.DEATH else SimulatedFleet)(
+        count, seed, clock_rates=clock_rates
+    )
     joined_s = fleet.converge_s()
     fleet.run(SECOND_US)
     fleet.sent_count = 0
     fleet.notifications.clear()
     match kind:
-        case "death":
+        case TrialKind.DEATH:
             assert isinstance(fleet, MeteredFleet)
             fleet.sent_bytes = 0
             return _run_death_trial(fleet, joined_s)
-        case "loss":
+        case TrialKind.LOSS:
             return _run_loss_trial(fleet, float(parameters["loss"]), _number(parameters, "seconds"))
         case _:
             return _run_scenario_trial(fleet, int(parameters["seconds"]))
--- a/lotuspick/lab/seats/cost.py
+++ b/lotuspick/lab/seats/cost.py
@@ -9,6 +9,7 @@
 import statistics
 import tempfile
 import time
+from enum import StrEnum
 from functools import partial
 from pathlib import Path
 from typing import NamedTuple
@@ -43,6 +44,14 @@
 """Parameters of one broker without any faults."""
 
 
+class TrialKind(StrEnum):
+    """What a trial asks; the values are those of the key ``kind``."""
+
+    WRITE = "write"
+    BROKER = "broker"
+    RECOVERY = "recovery"
+
+
 class Latency(NamedTuple):
     """Of a sample, in its own unit."""
 
@@ -67,9 +76,9 @@
     """
     parameters = {**world, **arm}
     match parameters["kind"]:
-        case "write":
+        case TrialKind.WRITE:
             return _run_write_trial(parameters["rate"], parameters["sessions"])
-        case "recovery":
+        case TrialKind.RECOVERY:
             return _run_recovery_trial(parameters["seats_kept"])
         case _:
             return _run_broker_trial(parameters, seed)
