--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
 FAILURE_DETECTION = {"silent_ms": 1_200, "doubt_ms": 1_500}  # patient: many fleets share the machine here
 
 
-class Case(unittest.TestCase):
+class FleetTestCase(unittest.TestCase):
     def fleet(self, brokers: int = 5, rate: float = 4.0, **changes: Any) -> FleetRig:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -32,7 +32,7 @@
         rig.start_load(rate)
         return rig
 
-    def deaths(self, rig: FleetRig, of: int | None = None) -> list[str]:
+    def death_lines(self, rig: FleetRig, of: int | None = None) -> list[str]:
         """Lines in which brokers say that one is dead."""
         named = rig.broker_name(of) if of is not None else "\\S+"
         return [
@@ -42,15 +42,15 @@
             if re.search(rf"msg=member member={named} state=dead", line)
         ]
 
-    def judge(self, rig: FleetRig, hurt: set[int]) -> list[SetUpResult]:
-        """Each set-up had one outcome, and plain ones lost nothing at brokers whose process was not hurt."""
+    def stop_and_check(self, rig: FleetRig, disturbed: set[int]) -> list[SetUpResult]:
+        """Each set-up had one outcome, and plain ones lost nothing at brokers whose process was not disturbed."""
         results = rig.stop_load()
         self.assertGreater(len(results), 50)
         for result in results:
             self.assertEqual(
                 result.answer_count, 0 if result.connection_lost and not result.status else 1, result
             )
-            if result.broker not in hurt:
+            if result.broker not in disturbed:
                 self.assertFalse(result.connection_lost, result)
                 self.assertTrue(
                     result.status == 200 or result.is_paid and result.reason.startswith("fleet-"), result
@@ -60,8 +60,8 @@
         return results
 
 
-class Links(Case):
-    def test_cuts_that_heal_and_overlap_and_flap(self) -> None:
+class LinkFaults(FleetTestCase):
+    def test_fleet_with_cuts_that_heal_and_flap_agrees_and_the_minority_promises_nothing(self) -> None:
         rig = self.fleet()
         for few, many in (([0, 1], [2, 3, 4]), ([3], [0, 1, 2, 4])):
             rig.inject(Fault(0, FaultKind.CUT, tuple(few)))
@@ -74,21 +74,21 @@
                 [Fault(0.0, FaultKind.CUT, (0,)), Fault(0.5, FaultKind.HEAL), Fault(1.0, FaultKind.HEAL)]
             )
         rig.wait_for_agreement(range(5))
-        results = self.judge(rig, set())
+        results = self.stop_and_check(rig, set())
         refused = {result.broker for result in results if result.reason in ("fleet-minority", "fleet-alone")}
         self.assertTrue(refused & {0, 1, 3}, "those who were cut off promised nothing")
 
-    def test_a_link_that_a_third_goes_round_and_one_whose_words_are_lost(self) -> None:
+    def test_link_cut_one_way_or_between_two_buries_only_who_is_unheard(self) -> None:
         rig = self.fleet()
         watcher = next(
             at for at in range(1, 5) if rig.broker_name(at) in rig.query(0, "explain", name="n0")["watchers"]
         )
         assert rig.proxies is not None
-        way = rig.proxies.links[watcher, 0]
+        link = rig.proxies.links[watcher, 0]
         rig.inject(Fault(0, FaultKind.CUT, (watcher,), (0,)))
-        before = way.dropped
-        rig.wait_until(lambda: way.dropped > before + 40, "pings are lost")
-        self.assertEqual(self.deaths(rig), [])
+        before = link.dropped
+        rig.wait_until(lambda: link.dropped > before + 40, "pings are lost")
+        self.assertEqual(self.death_lines(rig), [])
         rig.inject(Fault(0, FaultKind.HEAL))
         rig.wait_for_agreement(range(5))
         rig.inject(Fault(0, FaultKind.CUT, (2,), both_ways=False))  # it hears all, and nobody hears it
@@ -96,21 +96,21 @@
         rig.wait_for_agreement([0, 1, 3, 4], "majority")
         rig.inject(Fault(0, FaultKind.HEAL))
         rig.wait_for_agreement(range(5))
-        self.judge(rig, set())
+        self.stop_and_check(rig, set())
 
-    def test_two_fifths_lost_everywhere(self) -> None:
+    def test_fleet_at_two_fifths_loss_agrees_after_it(self) -> None:
         rig = self.fleet()
         assert rig.proxies is not None
-        ways = rig.proxies.links.values()
+        links = rig.proxies.links.values()
         rig.inject(Fault(0, FaultKind.LOSS, amount=0.4))
-        rig.wait_until(lambda: sum(way.dropped for way in ways) > 700, "much is lost")
+        rig.wait_until(lambda: sum(link.dropped for link in links) > 700, "much is lost")
         rig.inject(Fault(0, FaultKind.HEAL))
         rig.wait_for_agreement(range(5))
-        self.judge(rig, set())
+        self.stop_and_check(rig, set())
 
 
-class Processes(Case):
-    def test_one_that_was_away_knows_it_before_it_promises_anything(self) -> None:
+class ProcessFaults(FleetTestCase):
+    def test_broker_that_stalled_promises_nothing_on_stale_beliefs(self) -> None:
         rig = self.fleet()
         rig.stall(1)
         rig.wait_for_agreement([0, 2, 3, 4], "majority")
@@ -120,7 +120,9 @@
         self.assertEqual(
             [line for line in rig.broker_log(1).splitlines() if "state=dead" in line], [], "it accuses nobody"
         )
-        results = [result for result in self.judge(rig, {1}) if result.broker == 1 and result.is_paid]
+        results = [
+            result for result in self.stop_and_check(rig, {1}) if result.broker == 1 and result.is_paid
+        ]
         waited = [
             result for result in results if result.took_ms > 900
         ]  # those that were sent while it stood still
@@ -130,7 +132,7 @@
             "nothing is promised on what it believed before",
         )
 
-    def test_one_that_is_slow_and_hears_nobody_buries_nobody(self) -> None:
+    def test_broker_that_is_slow_or_hears_nobody_declares_nobody_dead(self) -> None:
         rig = self.fleet()
         rig.inject(Fault(0, FaultKind.CUT, (0, 1, 2, 3), (4,), both_ways=False))  # all hear it
         rig.wait_for_quorum_state([4], "minority", "alone")
@@ -157,9 +159,9 @@
             ],
             [],
         )
-        self.judge(rig, {4})
+        self.stop_and_check(rig, {4})
 
-    def test_killed_and_back_before_anyone_noticed_all_at_once_and_with_disks_lost(self) -> None:
+    def test_fleet_with_brokers_killed_and_disks_lost_agrees_again(self) -> None:
         rig = self.fleet()
         rig.kill(3)
         rig.start(3)
@@ -189,9 +191,9 @@
         for at in (0, 1, 2):
             rig.launch(at)
         rig.wait_for_agreement(range(5))
-        self.judge(rig, set(range(5)))
+        self.stop_and_check(rig, set(range(5)))
 
-    def test_the_later_of_two_with_one_name_serves_paid_sessions_and_the_other_none(self) -> None:
+    def test_name_taken_by_a_newcomer_serves_paid_sessions_at_the_newcomer_alone(self) -> None:
         rig = self.fleet(6, name_overrides={5: "n2"}, late_brokers=1)
         rig.launch(5)
         rig.wait_for_quorum_state([2], "displaced")
@@ -199,7 +201,7 @@
         self.assertIn('msg="displaced', rig.broker_log(2))
         before = len(rig.node_set_ups())
         rig.wait_until(lambda: len(rig.node_set_ups()) > before + 60, "set-ups run")
-        results = self.judge(rig, {5})
+        results = self.stop_and_check(rig, {5})
         ends = {
             at: max(
                 result.asked_s
@@ -226,7 +228,7 @@
         )
 
 
-class Operators(Case):
+class OperatorCommands(FleetTestCase):
     def members(self, rig: FleetRig, *words: str) -> tuple[int, str]:
         done = subprocess.run(
             [
@@ -245,7 +247,7 @@
         )
         return done.returncode, done.stdout + done.stderr
 
-    def test_show_explain_and_drain(self) -> None:
+    def test_members_command_shows_explains_and_drains(self) -> None:
         rig = self.fleet(3)
         code, text = self.members(rig, "show")
         self.assertEqual((code, len(re.findall(r"n\d +alive", text))), (0, 3), text)
@@ -268,7 +270,7 @@
         rig.wait_for_agreement([0, 2], "majority")
         rig.kill(0)
         self.assertIn("no answer from", self.members(rig, "show")[1])
-        self.judge(rig, {0, 1, 2})
+        self.stop_and_check(rig, {0, 1, 2})
 
 
 if __name__ == "__main__":
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -32,8 +32,8 @@
 )
 
 
-class Days(unittest.TestCase):
-    def test_the_same_seed_plays_the_same_day(self) -> None:
+class EmulatedDays(unittest.TestCase):
+    def test_day_of_same_seed_is_the_same(self) -> None:
         spec = Spec(
             **{
                 **{
@@ -51,7 +51,7 @@
         self.assertEqual(days[0].audit.violations, [])  # a storm on every broker, in all troubles at once
         self.assertNotEqual(play(spec, 4, plans).audit.values, days[0].audit.values)
 
-    def test_every_rule_holds_in_trouble(self) -> None:
+    def test_day_with_all_faults_breaks_no_rule(self) -> None:
         for seed in range(3):
             day = play(
                 Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, load=1.2, faults=NOISE),
@@ -60,7 +60,7 @@
             self.assertEqual(day.audit.violations, [])
             self.assertGreater(day.audit.ends["broker killed"] + day.audit.ends["node died"], 0)
 
-    def test_a_tenant_reaches_only_its_cell(self) -> None:
+    def test_tenant_with_cells_reaches_only_nodes_of_its_cell(self) -> None:
         spec = Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, strays=0.0, copies=(3, 8))
         world = World(spec, 5)
         day = play(spec, 5, [(0.0, block_plan(world))])
@@ -68,7 +68,7 @@
             block = world.tenants.blocks[tenant]
             self.assertLessEqual(nodes, {f"m-{at:02d}" for at in range(4 * block, 4 * block + 4)})
 
-    def test_the_audit_catches_a_core_that_breaks_rules(self) -> None:
+    def test_audit_of_decisions_that_break_rules_reports_violations(self) -> None:
         handle = Controller.handle
 
         def lowest(self: Controller, now: int, events: Any) -> Any:
@@ -97,7 +97,7 @@
             )
             self.assertIn("told to drain", " ".join(play(drained, 1).audit.violations))
 
-    def test_moves_drop_nothing(self) -> None:
+    def test_moves_under_faults_drop_no_session(self) -> None:
         row, samples = moves(
             {"load": 0.5, "day_s": 70.0}, {"moves": 5, "kills": 1, "stale": 1, "troubles": True}, 77
         )
@@ -106,7 +106,9 @@
 
 
 class Experiments(unittest.TestCase):
-    def weigh(self, values: list[float], minus: list[float], **bounds: Any) -> evaluation.MeasuredValue:
+    def evaluate_difference(
+        self, values: list[float], minus: list[float], **bounds: Any
+    ) -> evaluation.MeasuredValue:
         measure = experiment_file.Measure("m", "x", "a", "b", **bounds)
         made = experiment_file.Experiment(
             "e",
@@ -125,14 +127,14 @@
         )
         return figure
 
-    def test_differences_are_paired_and_bounds_are_of_the_interval(self) -> None:
-        figure = self.weigh([10.0, 20.0, 31.0], [9.0, 19.0, 29.0], most=2.0)
+    def test_evaluation_of_two_arms_is_paired_and_bounds_the_interval(self) -> None:
+        figure = self.evaluate_difference([10.0, 20.0, 31.0], [9.0, 19.0, 29.0], most=2.0)
         self.assertAlmostEqual(figure.mean, 4 / 3)
         self.assertAlmostEqual(figure.high, 4 / 3 + 4.302653 * 0.57735 / 3**0.5, places=4)
         self.assertFalse(figure.holds)
-        self.assertTrue(self.weigh([1.0, 1.0], [1.0, 1.0], most=0.0, least=0.0).holds)
+        self.assertTrue(self.evaluate_difference([1.0, 1.0], [1.0, 1.0], most=0.0, least=0.0).holds)
 
-    def test_bad_files_name_their_key(self) -> None:
+    def test_experiment_file_that_is_malformed_names_the_key(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             for text, wanted in (
                 ("", "trial|about|measures"),
@@ -146,7 +148,7 @@
                 with self.assertRaisesRegex(experiment_file.ExperimentError, wanted):
                     experiment_file.load("bad", Path(folder))
 
-    def test_every_experiment_of_the_project_can_be_read_and_the_command_says_what_is_wrong(self) -> None:
+    def test_all_experiments_can_be_read_and_a_missing_one_is_a_usage_error(self) -> None:
         for name in experiment_file.names(ROOT / "experiments"):
             self.assertTrue(experiment_file.load(name, ROOT / "experiments").measures)
         done = subprocess.run(
@@ -158,7 +160,7 @@
         self.assertEqual((done.returncode, done.stdout), (2, ""))
         self.assertIn("experiments/nothing.toml: No such file", done.stderr)
 
-    def test_a_run_leaves_table_chart_and_verdict(self) -> None:
+    def test_run_command_writes_table_chart_and_verdict(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, "tiny.toml").write_text(
                 'about = "a"\ntrial = "moves"\n[world]\nday_s = 60.0\n[arms]\nx = { moves = 2, kills = 0, stale = 0 }\n'
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -17,19 +17,19 @@
 CLASSES = [ClassShare("repaso", 0.65, 15.0, 46.0), ClassShare("asistencia", 0.35, 22.0, 65.0)]
 
 
-def load(*phases: Phase) -> list[Arrival]:
+def arrivals_of(*phases: Phase) -> list[Arrival]:
     return list(draw_arrivals(LoadProfile(phases, CLASSES, titles=50, tenants=5), 7))
 
 
-def part(arrivals: list[Arrival], from_s: float, to_s: float) -> int:
+def count_between(arrivals: list[Arrival], from_s: float, to_s: float) -> int:
     return sum(from_s * 1e6 <= each.at_us < to_s * 1e6 for each in arrivals)
 
 
 class Arrivals(unittest.TestCase):
-    def test_the_same_seed_draws_the_same_and_phases_follow_one_another(self) -> None:
+    def test_arrivals_of_same_seed_are_the_same_and_phases_follow_one_another(self) -> None:
         phases = (Phase("calm", 10.0, 50.0), Phase("crowd", 10.0, 50.0, crowd_title="exam", crowd_share=0.5))
-        found = load(*phases)
-        self.assertEqual(found, load(*phases))
+        found = arrivals_of(*phases)
+        self.assertEqual(found, arrivals_of(*phases))
         self.assertEqual([each.at_us for each in found], sorted(each.at_us for each in found))
         crowded = [each for each in found if each.title == "exam"]
         self.assertTrue(all(each.phase == "crowd" and each.at_us >= 10e6 for each in crowded))
@@ -40,22 +40,22 @@
         )
         self.assertEqual(len({each.session for each in found}), len(found))
 
-    def test_each_shape_puts_its_requests_where_it_says(self) -> None:
-        ramp = load(Phase("p", 10.0, 0.0, "ramp", 200.0))
-        self.assertAlmostEqual(part(ramp, 5, 10) / len(ramp), 0.75, delta=0.05)
-        burst = load(Phase("p", 10.0, 10.0, "burst", 400.0))
-        self.assertAlmostEqual(part(burst, 4, 6) / len(burst), 800 / 880, delta=0.04)
-        sine = load(Phase("p", 10.0, 0.0, "sine", 200.0))
-        self.assertAlmostEqual(part(sine, 2.5, 7.5) / len(sine), 0.818, delta=0.05)
-        closing = load(Phase("p", 10.0, 0.0, "closing", 600.0))
-        self.assertAlmostEqual(part(closing, 9, 10) / len(closing), 0.5, delta=0.06)
-        even = load(Phase("p", 10.0, 20.0, evenly_spaced=True))
+    def test_phase_of_each_shape_puts_its_requests_where_it_says(self) -> None:
+        ramp = arrivals_of(Phase("p", 10.0, 0.0, "ramp", 200.0))
+        self.assertAlmostEqual(count_between(ramp, 5, 10) / len(ramp), 0.75, delta=0.05)
+        burst = arrivals_of(Phase("p", 10.0, 10.0, "burst", 400.0))
+        self.assertAlmostEqual(count_between(burst, 4, 6) / len(burst), 800 / 880, delta=0.04)
+        sine = arrivals_of(Phase("p", 10.0, 0.0, "sine", 200.0))
+        self.assertAlmostEqual(count_between(sine, 2.5, 7.5) / len(sine), 0.818, delta=0.05)
+        closing = arrivals_of(Phase("p", 10.0, 0.0, "closing", 600.0))
+        self.assertAlmostEqual(count_between(closing, 9, 10) / len(closing), 0.5, delta=0.06)
+        even = arrivals_of(Phase("p", 10.0, 20.0, evenly_spaced=True))
         self.assertEqual(
             {later.at_us - each.at_us for each, later in zip(even, even[1:])} - {49_999, 50_000, 50_001},
             set(),
         )
 
-    def test_what_cannot_be_drawn_names_its_key(self) -> None:
+    def test_load_that_cannot_be_drawn_names_the_key(self) -> None:
         for made, wanted in (
             (lambda: Phase("p", -1.0, 1.0), "seconds"),
             (lambda: Phase("p", 1.0, float("nan")), "rate"),
@@ -81,14 +81,14 @@
             ),
         ]
 
-    def test_what_is_written_is_read(self) -> None:
-        found = load(Phase("p", 5.0, 40.0))
+    def test_trace_that_was_written_reads_back_the_same(self) -> None:
+        found = arrivals_of(Phase("p", 5.0, 40.0))
         back = trace.read(trace.write(found))
         first = found[0].at_us
         self.assertEqual(back.arrivals, [replace(each, at_us=each.at_us - first) for each in found])
         self.assertEqual(back.defects, [])
 
-    def test_gaps_clocks_that_were_set_ids_that_come_twice_and_broken_lines_are_told_by_line(self) -> None:
+    def test_trace_with_defects_reports_each_by_its_line(self) -> None:
         back = trace.read(
             self.lines(
                 {"at": 1_000_000},
@@ -117,7 +117,7 @@
         with self.assertRaisesRegex(LoadError, "speed"):
             trace.cut(back, speed=0.0)
 
-    def test_what_is_no_trace_is_refused(self) -> None:
+    def test_read_of_another_format_is_rejected(self) -> None:
         for lines in ([], [b"{}"], [b"\xff"], [b'{"format": "lotuspick-trace", "version": 2}']):
             with self.assertRaisesRegex(LoadError, "line 1"):
                 trace.read(lines)
@@ -133,7 +133,7 @@
             max_size=20,
         )
     )
-    def test_whatever_comes_is_read_in_order_of_time(self, told: list[bytes]) -> None:
+    def test_trace_of_any_lines_reads_in_order_of_time(self, told: list[bytes]) -> None:
         back = trace.read(self.lines(*told))
         times = [each.at_us for each in back.arrivals]
         self.assertEqual(times, sorted(times))
@@ -141,7 +141,7 @@
 
 
 class Measures(unittest.TestCase):
-    def test_a_stall_shows_whole_in_the_tail_and_a_client_that_waits_hides_it(self) -> None:
+    def test_stall_shows_in_the_tail_of_open_loop_and_is_hidden_by_a_waiting_client(self) -> None:
         """A thousand requests a second for 10 s; the broker answers in 2 ms, but stands still from 5.0 to 7.0 s."""
         found, waits, clock = LoadMeasurement(), LoadMeasurement(), 0
         for at in range(10_000):
@@ -162,7 +162,7 @@
             self.assertAlmostEqual(honest[percentile], truth, delta=truth * 0.002 + 1_000)
         self.assertLess(waits.settle().quantiles("c", "200")[99.0], 3_000)
 
-    def test_seconds_in_which_the_generator_fell_behind_are_void_and_said_to_be(self) -> None:
+    def test_seconds_of_late_sends_are_voided_and_named_in_the_verdict(self) -> None:
         found = LoadMeasurement()
         for at in range(3_000):
             due = at * 1_000
@@ -176,7 +176,7 @@
         self.assertLess(found.quantiles("c", "200")[99.9], 1_100)
         self.assertGreater(found.lag.get_max_value(), 49_000)
 
-    def test_histograms_of_processes_merge(self) -> None:
+    def test_measurements_of_two_processes_merge(self) -> None:
         one, two = LoadMeasurement(), LoadMeasurement()
         for found, took in ((one, 1_000), (two, 9_000)):
             for at in range(100):
