--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -34,9 +34,10 @@
 HERE = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(HERE))
 
-from lotuspick.lab.fleet.rig import SETTINGS, Coordinator, Server  # noqa: E402
-from lotuspick.lab.load.arrivals import Kind, Load, Phase, drawn  # noqa: E402
-from lotuspick.lab.load.sender import Sender, Target  # noqa: E402
+from lotuspick.lab.fleet.fake_coordinator import CoordinatorServer  # noqa: E402
+from lotuspick.lab.fleet.site_settings import SITE_SETTINGS  # noqa: E402
+from lotuspick.lab.load.arrivals import ClassShare, LoadProfile, Phase, draw_arrivals  # noqa: E402
+from lotuspick.lab.load.sender import LoadSender, Target  # noqa: E402
 
 BROKERS, NODES, RATE, STARTED_S = 2, 60, 30.0, 30.0
 ASK = (
@@ -82,7 +83,7 @@
 def one(tree: Path, seconds: float, seed: int) -> dict[str, list[float]]:
     """Start the tree's brokers, load them, and end them."""
     run = tomllib.loads((tree / "deploy/balancer.toml").read_text(encoding="utf-8"))["run"]
-    coordinator = Server(("127.0.0.1", 0), Coordinator)
+    coordinator = CoordinatorServer()
     threading.Thread(target=coordinator.serve_forever, daemon=True).start()
     found: dict[str, list[float]] = {name: [] for name in FIGURES}
     started: list[subprocess.Popen[bytes]] = []
@@ -91,7 +92,7 @@
             [
                 sys.executable,
                 "-m",
-                "lotuspick.lab.seats.nodes",
+                "lotuspick.lab.seats.fake_nodes",
                 str(NODES),
                 str(seed),
                 f"{folder}/ran.log",
@@ -127,8 +128,8 @@
                             "coordinator": f"127.0.0.1:{coordinator.server_address[1]}",
                             "limits": {"cores": 1.0, "memory_mb": 80, "sockets": 1_024},
                             "settings": {
-                                **SETTINGS,
-                                "FamilyInfo": {**SETTINGS["FamilyInfo"], "Cells": NODES},
+                                **SITE_SETTINGS,
+                                "FamilyInfo": {**SITE_SETTINGS["FamilyInfo"], "Cells": NODES},
                             },
                             "known": {
                                 "index": 1,
@@ -155,8 +156,8 @@
                 )
                 found["start_s"].append(ready(port, started[-1], began_s))
             found["empty_mib"] = [private_mib(each.pid) for each in started]
-            kinds = [Kind("clip", 0.7, 3.0, 8.0), Kind("exam", 0.3, 3.0, 8.0)]
-            load = Load([Phase("p", seconds, RATE)], kinds, ceilings={2: 1.0})
+            kinds = [ClassShare("clip", 0.7, 3.0, 8.0), ClassShare("exam", 0.3, 3.0, 8.0)]
+            load = LoadProfile([Phase("p", seconds, RATE)], kinds, rung_shares={2: 1.0})
             found["slope_mib_h"] = asyncio.run(play(ports, load, seed, [each.pid for each in started]))
             found["served_mib"] = [private_mib(each.pid) for each in started]
         finally:
@@ -170,9 +171,11 @@
     return found
 
 
-async def play(ports: list[int], load: Load, seed: int, pids: list[int]) -> list[float]:
+async def play(ports: list[int], load: LoadProfile, seed: int, pids: list[int]) -> list[float]:
     """The same load on each broker; returns the slope of each one's memory, MiB an hour."""
-    senders = [Sender(list(drawn(load, seed + at)), Target(port, NODES)) for at, port in enumerate(ports)]
+    senders = [
+        LoadSender(list(draw_arrivals(load, seed + at)), Target(port, NODES)) for at, port in enumerate(ports)
+    ]
     samples: list[list[float]] = []
 
     async def sample() -> None:
--- /dev/null
+++ b/lotuspick/lab/errors.py
@@ -0,0 +1,50 @@
+"""Errors of the lab's rigs and trials."""
+
+from __future__ import annotations
+
+
+class LabError(Exception):
+    """A trial cannot go on."""
+
+
+class BrokerStartError(LabError):
+    """A broker's process ended before it accepted viewers."""
+
+    def __init__(self, broker: int, log_tail: str) -> None:
+        super().__init__(f"broker {broker} did not start: {log_tail}")
+        self.broker = broker
+        self.log_tail = log_tail
+
+
+class ConditionTimeoutError(LabError):
+    """What a rig waited for did not come about in time."""
+
+    def __init__(self, condition: str, timeout_s: float, details: str) -> None:
+        super().__init__(f"not so after {timeout_s:g} s: {condition} {details}")
+        self.condition = condition
+        self.timeout_s = timeout_s
+        self.details = details
+
+
+class NoFreePortError(LabError):
+    """No port was found that is free for TCP and UDP alike."""
+
+    def __init__(self, attempts: int) -> None:
+        super().__init__(f"no port is free for TCP and UDP alike, after {attempts} attempts")
+        self.attempts = attempts
+
+
+class ProcessFailedError(LabError):
+    """A child process ended with an error."""
+
+    def __init__(self, what: str, output: str = "") -> None:
+        super().__init__(f"{what} failed" + (f": {output}" if output else ""))
+        self.what = what
+        self.output = output
+
+
+class SettlementMismatchError(LabError):
+    """Ledgers settle differently in another order, or a second time."""
+
+    def __init__(self) -> None:
+        super().__init__("ledgers settle differently in another order, or a second time")
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,60 +14,61 @@
 
 from lotuspick.core.controller import Controller
 from lotuspick.core.placement import Placement
-from lotuspick.lab.emulator.spec import Spec, Storm, Trouble
+from lotuspick.lab.emulator.spec import Fault, FaultKind, RetryStorm, Spec
 from lotuspick.lab.emulator.world import World, play
-from lotuspick.lab.experiment import model, run
-from lotuspick.lab.experiment.trials import blocks, moves
+from lotuspick.lab.experiment import evaluation, experiment_file
+from lotuspick.lab.experiment.cell_plans import block_plan
+from lotuspick.lab.experiment.cell_trials import moves
 from lotuspick.routing.message_handlers import MessageHandlers
 
 SMALL = Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, measure_from_s=10.0)
 NOISE = (
-    Trouble("kill", 15.0, 16.0, 1),
-    Trouble("dead", 18.0, 25.0, 2),
-    Trouble("drain", 20.0, 30.0, 5),
-    Trouble("slow", 12.0, 20.0, 7),
-    Trouble("late", 22.0, 30.0),
-    Trouble("mute", 15.0, 25.0),
+    Fault(FaultKind.BROKER_KILLED, 15.0, 16.0, 1),
+    Fault(FaultKind.NODE_DEAD, 18.0, 25.0, 2),
+    Fault(FaultKind.NODE_DRAINING, 20.0, 30.0, 5),
+    Fault(FaultKind.NODE_SLOW, 12.0, 20.0, 7),
+    Fault(FaultKind.ENDPOINT_LIST_LATE, 22.0, 30.0),
+    Fault(FaultKind.NOTIFICATIONS_MUTE, 15.0, 25.0),
 )
 
 
-class Days(unittest.TestCase):
-    def test_the_same_seed_plays_the_same_day(self) -> None:
+class EmulatedDays(unittest.TestCase):
+    def test_day_of_same_seed_is_the_same(self) -> None:
         spec = Spec(
             **{
                 **{
                     name: getattr(SMALL, name)
                     for name in ("nodes", "racks", "cells", "tenants", "brokers", "day_s")
                 },
-                "storms": (Storm("t000", 12.0, 30.0),),
-                "troubles": NOISE,
+                "storms": (RetryStorm("t000", 12.0, 30.0),),
+                "faults": NOISE,
             }
         )
-        plans = [(0.0, blocks(World(spec, 3)))]
+        plans = [(0.0, block_plan(World(spec, 3)))]
         days = [play(spec, 3, plans) for _ in range(2)]
-        self.assertEqual(days[0].books.worth, days[1].books.worth)
-        self.assertEqual(days[0].news, days[1].news)
-        self.assertEqual(days[0].books.broken, [])  # a storm on every broker, in all troubles at once
-        self.assertNotEqual(play(spec, 4, plans).books.worth, days[0].books.worth)
+        self.assertEqual(days[0].audit.values, days[1].audit.values)
+        self.assertEqual(days[0].operator_events, days[1].operator_events)
+        self.assertEqual(days[0].audit.violations, [])  # a storm on every broker, in all troubles at once
+        self.assertNotEqual(play(spec, 4, plans).audit.values, days[0].audit.values)
 
-    def test_every_rule_holds_in_trouble(self) -> None:
+    def test_day_with_all_faults_breaks_no_rule(self) -> None:
         for seed in range(3):
             day = play(
-                Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, load=1.2, troubles=NOISE),
+                Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, load=1.2, faults=NOISE),
                 seed,
             )
-            self.assertEqual(day.books.broken, [])
-            self.assertGreater(day.books.ends["broker killed"] + day.books.ends["node died"], 0)
+            self.assertEqual(day.audit.violations, [])
+            self.assertGreater(day.audit.ends["broker killed"] + day.audit.ends["node died"], 0)
 
-    def test_a_tenant_reaches_only_its_cell(self) -> None:
+    def test_tenant_with_cells_reaches_only_nodes_of_its_cell(self) -> None:
         spec = Spec(nodes=16, racks=4, cells=4, tenants=40, brokers=3, day_s=40.0, strays=0.0, copies=(3, 8))
         world = World(spec, 5)
-        day = play(spec, 5, [(0.0, blocks(world))])
-        for tenant, nodes in day.books.touched.items():
-            block = world.blocks[tenant]
+        day = play(spec, 5, [(0.0, block_plan(world))])
+        for tenant, nodes in day.audit.nodes_by_tenant.items():
+            block = world.tenants.blocks[tenant]
             self.assertLessEqual(nodes, {f"m-{at:02d}" for at in range(4 * block, 4 * block + 4)})
 
-    def test_the_audit_catches_a_core_that_breaks_rules(self) -> None:
+    def test_audit_of_decisions_that_break_rules_reports_violations(self) -> None:
         handle = Controller.handle
 
         def lowest(self: Controller, now: int, events: Any) -> Any:
@@ -77,12 +78,12 @@
             ]
 
         with patch.object(Controller, "handle", lowest):
-            self.assertIn("on the lowest rung", " ".join(play(SMALL, 1).books.broken))
+            self.assertIn("on the lowest rung", " ".join(play(SMALL, 1).audit.violations))
         with (
             patch.object(Controller, "handle", lambda self, now, events: []),
             patch.object(MessageHandlers, "_on_deadline", lambda self, session, request: None),
         ):
-            self.assertIn("no outcome for", " ".join(play(SMALL, 1).books.broken))
+            self.assertIn("no outcome for", " ".join(play(SMALL, 1).audit.violations))
         with patch.object(Placement, "is_usable", lambda self, server: server.listed):
             drained = Spec(
                 nodes=4,
@@ -92,11 +93,11 @@
                 brokers=3,
                 day_s=30.0,
                 copies=(4, 4),
-                troubles=(Trouble("drain", 5.0, 28.0, 1),),
+                faults=(Fault(FaultKind.NODE_DRAINING, 5.0, 28.0, 1),),
             )
-            self.assertIn("told to drain", " ".join(play(drained, 1).books.broken))
+            self.assertIn("told to drain", " ".join(play(drained, 1).audit.violations))
 
-    def test_moves_drop_nothing(self) -> None:
+    def test_moves_under_faults_drop_no_session(self) -> None:
         row, samples = moves(
             {"load": 0.5, "day_s": 70.0}, {"moves": 5, "kills": 1, "stale": 1, "troubles": True}, 77
         )
@@ -105,22 +106,35 @@
 
 
 class Experiments(unittest.TestCase):
-    def weigh(self, values: list[float], minus: list[float], **bounds: Any) -> run.Figure:
-        measure = model.Measure("m", "x", "a", "b", **bounds)
-        made = model.Experiment("e", "", "cells", {}, {"a": {}, "b": {}}, (measure,), (1, 2), (1, 2))
+    def evaluate_difference(
+        self, values: list[float], minus: list[float], **bounds: Any
+    ) -> evaluation.MeasuredValue:
+        measure = experiment_file.Measure("m", "x", "a", "b", **bounds)
+        made = experiment_file.Experiment(
+            "e",
+            "",
+            "cells",
+            {},
+            {"a": {}, "b": {}},
+            (measure,),
+            experiment_file.SeedRange(1, 2),
+            experiment_file.SeedRange(1, 2),
+        )
         rows = {"a": [{"x": value} for value in values], "b": [{"x": value} for value in minus]}
-        [figure] = run.weigh(made, rows)
-        self.assertIn("holds" if figure.holds else "falls short", run.verdict(made, [figure], [1, 2])[1])
+        [figure] = evaluation.evaluate(made, rows)
+        self.assertIn(
+            "holds" if figure.holds else "falls short", evaluation.judge(made, [figure], [1, 2]).line
+        )
         return figure
 
-    def test_differences_are_paired_and_bounds_are_of_the_interval(self) -> None:
-        figure = self.weigh([10.0, 20.0, 31.0], [9.0, 19.0, 29.0], most=2.0)
+    def test_evaluation_of_two_arms_is_paired_and_bounds_the_interval(self) -> None:
+        figure = self.evaluate_difference([10.0, 20.0, 31.0], [9.0, 19.0, 29.0], most=2.0)
         self.assertAlmostEqual(figure.mean, 4 / 3)
         self.assertAlmostEqual(figure.high, 4 / 3 + 4.302653 * 0.57735 / 3**0.5, places=4)
         self.assertFalse(figure.holds)
-        self.assertTrue(self.weigh([1.0, 1.0], [1.0, 1.0], most=0.0, least=0.0).holds)
+        self.assertTrue(self.evaluate_difference([1.0, 1.0], [1.0, 1.0], most=0.0, least=0.0).holds)
 
-    def test_bad_files_name_their_key(self) -> None:
+    def test_experiment_file_that_is_malformed_names_the_key(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             for text, wanted in (
                 ("", "trial|about|measures"),
@@ -131,12 +145,12 @@
                 ),
             ):
                 Path(folder, "bad.toml").write_text(text)
-                with self.assertRaisesRegex(model.ExperimentError, wanted):
-                    model.load("bad", Path(folder))
+                with self.assertRaisesRegex(experiment_file.ExperimentError, wanted):
+                    experiment_file.load("bad", Path(folder))
 
-    def test_every_experiment_of_the_project_can_be_read_and_the_command_says_what_is_wrong(self) -> None:
-        for name in model.names(ROOT / "experiments"):
-            self.assertTrue(model.load(name, ROOT / "experiments").measures)
+    def test_all_experiments_can_be_read_and_a_missing_one_is_a_usage_error(self) -> None:
+        for name in experiment_file.names(ROOT / "experiments"):
+            self.assertTrue(experiment_file.load(name, ROOT / "experiments").measures)
         done = subprocess.run(
             [sys.executable, "-m", "lotuspick", "lab", "verify", "nothing"],
             cwd=ROOT,
@@ -146,7 +160,7 @@
         self.assertEqual((done.returncode, done.stdout), (2, ""))
         self.assertIn("experiments/nothing.toml: No such file", done.stderr)
 
-    def test_a_run_leaves_table_chart_and_verdict(self) -> None:
+    def test_run_command_writes_table_chart_and_verdict(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, "tiny.toml").write_text(
                 'about = "a"\ntrial = "moves"\n[world]\nday_s = 60.0\n[arms]\nx = { moves = 2, kills = 0, stale = 0 }\n'
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -17,7 +17,7 @@
 from scenario import ROOT
 from twisted.internet.task import Clock
 
-from lotuspick.lab.net.world import World
+from lotuspick.lab.net.simulated_network import SimulatedNetwork
 from lotuspick.state_machine import (
     CommandReceived,
     Effect,
@@ -135,29 +135,29 @@
 
 class SimulatedDriver(DriverUnderTest):
     def __init__(self) -> None:
-        self.world, self.machine = World(3), ScriptedMachine()
-        self.world.add("h", lambda: self.machine, [])
-        self.world.add("other", ScriptedMachine, [])
-        self.world.start("other")
-        self.world.start("h")
+        self.network, self.machine = SimulatedNetwork(3), ScriptedMachine()
+        self.network.add("h", lambda: self.machine, [])
+        self.network.add("other", ScriptedMachine, [])
+        self.network.start("other")
+        self.network.start("h")
 
     @property
     def out(self) -> list[Any]:  # type: ignore[override]
         sent = [
             SendMessage("other", event.message)
-            for _, event in self.world.hosts["other"].machine.steps
+            for _, event in self.network.hosts["other"].machine.steps
             if isinstance(event, MessageReceived)
         ]
-        return [Notify(news) for _, host, news in self.world.told if host == "h"] + sent
+        return [Notify(news) for _, host, news in self.network.notifications if host == "h"] + sent
 
     def command(self, what: str) -> None:
-        self.world.ask("h", CommandReceived(what))
+        self.network.deliver("h", CommandReceived(what))
 
     def advance(self, seconds: float) -> None:
-        self.world.run(int(seconds * SECOND))
+        self.network.run(int(seconds * SECOND))
 
     def durable(self) -> dict[str, bytes]:
-        return self.world.hosts["h"].disk
+        return self.network.hosts["h"].disk
 
 
 def contents(out: Sequence[Any]) -> list[Any]:
@@ -252,15 +252,15 @@
     def test_killed_process_keeps_at_least_what_was_committed(self) -> None:
         kept = set()
         for seed in range(40):
-            world = World(seed)
-            world.add("h", ScriptedMachine, [])
-            world.start("h")
+            network = SimulatedNetwork(seed)
+            network.add("h", ScriptedMachine, [])
+            network.start("h")
             for _ in range(5):
-                world.ask("h", CommandReceived("promise"))
-                world.run(random.Random(seed).randrange(6_000))
-            reported = sum(str(news).startswith("after") for _, _, news in world.told)
-            world.crash("h")
-            last = int(world.hosts["h"].disk.get("k", b"0"))
+                network.deliver("h", CommandReceived("promise"))
+                network.run(random.Random(seed).randrange(6_000))
+            reported = sum(str(news).startswith("after") for _, _, news in network.notifications)
+            network.crash("h")
+            last = int(network.hosts["h"].disk.get("k", b"0"))
             self.assertGreaterEqual(last, reported)
             kept.add(last - reported)
         self.assertGreater(len(kept), 1)
