--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -9,6 +9,9 @@
 Private_Dirty of /proc/PID/smaps_rollup), ``served_mib`` after it served viewers at 30 requests a second and
 ``slope_mib_h`` by how much it grew an hour over the last two thirds of that (least squares; it takes ``--seconds`` of
 several minutes to mean something). Where the kernel does not tell private memory, the run fails.
+
+The tree that goes first alternates from run to run. The servers, the coordinator and the viewers are always this
+tree's; that the brokers are the other tree's own is checked before anything is measured.
 """
 
 from __future__ import annotations
@@ -17,7 +20,7 @@
 import asyncio
 import json
 import os
-import random
+import re
 import signal
 import socket
 import statistics
@@ -44,6 +47,48 @@
 )
 FIGURES = ("start_s", "empty_mib", "served_mib", "slope_mib_h")
 SAMPLE_S = 2.0
+PRINT_MODULE_FILES = """
+import sys
+import lotuspick.program.serve
+for name, module in sorted(sys.modules.items()):
+    if name.partition(".")[0] == "lotuspick":
+        print(module.__file__)
+"""
+
+
+class BenchmarkError(Exception):
+    """A run that failed, or that would not measure the tree that it is asked to measure."""
+
+
+def run_line(tree: Path) -> str:
+    """The shell line by which a tree starts a broker."""
+    deployment = tomllib.loads((tree / "deploy/balancer.toml").read_text(encoding="utf-8"))
+    line: str = deployment["run"]
+    return line
+
+
+def check_tree(tree: Path) -> None:
+    """Check that the interpreter that a tree's line ``run`` names imports the package from that tree alone.
+
+    Raises:
+        BenchmarkError: the line ``build`` has not been carried out, or a module comes from elsewhere.
+    """
+    found = re.search(r"\bexec (\S+)", run_line(tree))
+    interpreter = tree / (found[1] if found else "")
+    if not interpreter.is_file():
+        raise BenchmarkError(f"{tree} has no {interpreter}: carry out its line `build` first")
+    done = subprocess.run(
+        [str(interpreter), "-B", "-c", PRINT_MODULE_FILES],
+        cwd=tree,
+        env={"PATH": os.environ["PATH"]},
+        capture_output=True,
+        text=True,
+    )
+    if done.returncode != 0:
+        raise BenchmarkError(f"{tree} cannot import its package: {done.stderr.strip()}")
+    for file in done.stdout.splitlines():
+        if not Path(file).resolve().is_relative_to(tree / "lotuspick"):
+            raise BenchmarkError(f"{tree} imports {file}, which is not its own")
 
 
 def free_port() -> int:
@@ -81,7 +126,7 @@
 
 def one(tree: Path, seconds: float, seed: int) -> dict[str, list[float]]:
     """Start the tree's brokers, load them, and end them."""
-    run = tomllib.loads((tree / "deploy/balancer.toml").read_text(encoding="utf-8"))["run"]
+    run = run_line(tree)
     coordinator = Server(("127.0.0.1", 0), Coordinator)
     threading.Thread(target=coordinator.serve_forever, daemon=True).start()
     found: dict[str, list[float]] = {name: [] for name in FIGURES}
@@ -196,9 +241,14 @@
     parser.add_argument("--seconds", type=float, default=20.0, help="of load")
     told = parser.parse_args()
     trees = [HERE, *([told.against.resolve()] if told.against else [])]
+    try:
+        for tree in trees:
+            check_tree(tree)
+    except BenchmarkError as error:
+        sys.exit(f"benchmarks/start.py: {error}")
     all_found: list[dict[str, list[float]]] = [{name: [] for name in FIGURES} for _ in trees]
     for turn in range(1, told.runs + 1):
-        for index in random.Random(turn).sample(range(len(trees)), len(trees)):
+        for index in range(len(trees)) if turn % 2 else reversed(range(len(trees))):
             for name, values in one(trees[index], told.seconds, turn).items():
                 all_found[index][name] += values
     for name in FIGURES:
