--- a/benchmarks/acceptance.py
+++ b/benchmarks/acceptance.py
@@ -1,18 +1,23 @@
-"""The table of plays in docs/results/acceptance, from the journal: ``python benchmarks/acceptance.py SINCE [--write]``.
+"""The table of plays in docs/results/acceptance, made from the journal.
 
-SINCE is an entry's name, such as 20261202T024500; every play from it on is listed, failed ones too.
+    python benchmarks/acceptance.py SINCE            # print it
+    python benchmarks/acceptance.py SINCE --write    # replace docs/results/acceptance/plays.md
+
+SINCE is the name of a journal entry, such as 20261202T024500. Every play from it on is listed, failed ones
+too.
 """
 
 from __future__ import annotations
 
 import argparse
-import json
 import subprocess
 from collections.abc import Iterable, Iterator
 from pathlib import Path
-from typing import Any
+
+import msgspec
 
 ROOT = Path(__file__).parent.parent
+JOURNAL = ROOT / "journal"
 PAGE = ROOT / "docs" / "results" / "acceptance" / "plays.md"
 COLUMNS = (
     "entry",
@@ -28,82 +33,147 @@
     "rules broken",
     "verdict",
 )
-
-
-def landed(commit: str) -> bool:
+GATE_PASSED = 1.0
+
+
+class Day(msgspec.Struct, rename={"brokers": "nodes"}):
+    """One day of a play, as far as the table shows it.
+
+    The journal leaves out what a kind of day does not have.
+    """
+
+    name: str = ""
+    seed: int | str | None = ""
+    brokers: int | str = ""
+    score: float | None = None
+    served: float = 0.0
+    served_least: float | None = None
+    """Share that has to be served."""
+    memory_mb: int | str = ""
+    rules: dict[str, int | float] = {}
+    """How often each rule was broken."""
+    fault: str | None = None
+    fair: bool = True
+    """False: the machine was too busy for the score to count."""
+
+    def broken_rules(self) -> str:
+        """The rules that were broken, each with its count."""
+        return ", ".join(f"{name} {count}" for name, count in self.rules.items() if count) or "none"
+
+    def served_and_wanted(self) -> str:
+        """The share that was served beside the one that has to be."""
+        return "" if self.served_least is None else f"{self.served:.3f}, {self.served_least:.3f}"
+
+
+class Entry(msgspec.Struct, rename={"command": "cmd", "arguments": "argv", "commit": "head"}):
+    """One entry of the journal, as far as the table shows it."""
+
+    command: str
+    arguments: list[str]
+    commit: str
+    dirty: bool
+    """The working tree differed from the commit."""
+    ok: bool
+    site: str | None = None
+    error: str | None = None
+    figures: dict[str, float | str | None] = {}
+    days: list[Day] = []
+
+    def play(self) -> str:
+        """The command with the options that change what is played."""
+        quick = " quick" if "--quick" in self.arguments else ""
+        return f"{self.command}{quick}{self._panel()}"
+
+    def _panel(self) -> str:
+        if "--panel" not in self.arguments:
+            return ""
+        return f" {self.arguments[self.arguments.index('--panel') + 1]}"
+
+    def commit_and_state(self) -> str:
+        """The commit, and whether it is that of a trial or was changed."""
+        trial = "" if is_on_main(self.commit) else ", trial"
+        changed = ", changed" if self.dirty else ""
+        return f"{self.commit[:7]}{trial}{changed}"
+
+
+def is_on_main(commit: str) -> bool:
     """Whether a commit is part of main's history: what was played on another is a trial."""
-    done = subprocess.run(
-        ["git", "merge-base", "--is-ancestor", commit, "HEAD"], cwd=ROOT, capture_output=True
-    )
-    return done.returncode == 0
-
+    command = ["git", "merge-base", "--is-ancestor", commit, "HEAD"]
+    return subprocess.run(command, cwd=ROOT, capture_output=True).returncode == 0
 
-def line(cells: Iterable[Any]) -> str:
-    return "| " + " | ".join(str(each) for each in cells) + " |"
 
-
-def verdict(entry: dict[str, Any], day: dict[str, Any]) -> str:
-    if not entry["ok"]:
-        return f"not finished: {entry['error']}"
-    if not day:
+def verdict(entry: Entry, day: Day | None) -> str:
+    """What came of a day, or of a play without days."""
+    if not entry.ok:
+        return f"not finished: {entry.error}"
+    if day is None:
         return "not a day"
-    if day.get("fault") or any(day["rules"].values()):
+    if day.fault or any(day.rules.values()):
         return "failed"
-    if not day.get("fair", True):
+    if not day.fair:
         return "rules kept, score void: the machine was too busy"
-    gate = entry["figures"].get("gate")
-    return "rules kept" if gate is None else "gate passed" if gate == 1.0 else "gate failed"
+    gate = entry.figures.get("gate")
+    if gate is None:
+        return "rules kept"
+    return "gate passed" if gate == GATE_PASSED else "gate failed"
+
+
+def table_line(cells: Iterable[object]) -> str:
+    """One line of a Markdown table."""
+    return "| " + " | ".join(str(cell) for cell in cells) + " |"
+
+
+def table_row(name: str, entry: Entry, day: Day | None) -> str:
+    """The line of a day, or of a play without days."""
+    shown = day or Day()
+    return table_line(
+        [
+            name,
+            entry.play(),
+            entry.site or "",
+            shown.name,
+            shown.seed,
+            shown.brokers,
+            entry.commit_and_state(),
+            "" if shown.score is None else f"{shown.score:.2f}",
+            shown.served_and_wanted(),
+            shown.memory_mb,
+            shown.broken_rules() if day else "",
+            verdict(entry, day),
+        ]
+    )
 
 
-def rows(since: str) -> Iterator[str]:
-    for path in sorted((ROOT / "journal").glob("*.json")):
+def table_rows(since: str) -> Iterator[str]:
+    """The lines of all plays from an entry on."""
+    for path in sorted(JOURNAL.glob("*.json")):
         if path.name < since:
             continue
-        entry = json.loads(path.read_text())
-        told, head = entry["argv"], entry["head"]
-        commit = head[:7] + ("" if landed(head) else ", trial") + (", changed" if entry["dirty"] else "")
-        panel = f" {told[told.index('--panel') + 1]}" if "--panel" in told else ""
-        play = entry["cmd"] + (" quick" if "--quick" in told else "") + panel
-        days = entry["days"] or [{}]
+        entry = msgspec.json.decode(path.read_bytes(), type=Entry)
+        days: list[Day | None] = [*entry.days] or [None]
         for day in days:
-            rules = (
-                ", ".join(f"{name} {count}" for name, count in day.get("rules", {}).items() if count)
-                or "none"
-            )
-            score = "" if day.get("score") is None else f"{day['score']:.2f}"
-            least = day.get("served_least")
-            served = "" if least is None else f"{day['served']:.3f}, {least:.3f}"
-            seen = [day.get(key, "") for key in ("name", "seed", "nodes")]
-            yield line(
-                [
-                    path.stem,
-                    play,
-                    entry["site"] or "",
-                    *seen,
-                    commit,
-                    score,
-                    served,
-                    day.get("memory_mb", ""),
-                    rules if day else "",
-                    verdict(entry, day),
-                ]
-            )
+            yield table_row(path.stem, entry, day)
+
+
+def make_page(since: str) -> str:
+    """The page, which says how it was made."""
+    made_by = f"Made by `python benchmarks/acceptance.py {since} --write` from the journal."
+    header = [table_line(COLUMNS), table_line(["---"] * len(COLUMNS))]
+    return "\n".join(["# Plays", "", made_by, "", *header, *table_rows(since), ""])
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
+    """Print the page or replace it."""
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("since")
     parser.add_argument("--write", action="store_true")
-    given = parser.parse_args()
-    made = f"Made by `python benchmarks/acceptance.py {given.since} --write` from the journal."
-    text = "\n".join(
-        ["# Plays", "", made, "", line(COLUMNS), line(["---"] * len(COLUMNS)), *rows(given.since), ""]
-    )
-    if given.write:
+    options = parser.parse_args()
+    page = make_page(options.since)
+    if options.write:
         PAGE.parent.mkdir(parents=True, exist_ok=True)
-        PAGE.write_text(text)
+        PAGE.write_text(page)
     else:
-        print(text)
+        print(page)
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/benchmarks/core_workload.py
@@ -0,0 +1,193 @@
+"""The load under which ``core.py`` times the decisions.
+
+Viewers and servers around one controller, in simulated time: sessions are requested at a constant rate,
+start 80 ms after they are forwarded, send a notification every 2 s and end after 10 to 20 s. The same seed
+gives the same events.
+"""
+
+from __future__ import annotations
+
+import gc
+import heapq
+import random
+import statistics
+import time
+from collections.abc import Sequence
+
+from lotuspick.core.actions import Action, FailSession, ForwardAttempt, RejectSession, StartTimer
+from lotuspick.core.controller import Controller
+from lotuspick.core.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    Event,
+    ServerEntry,
+    ServerListUpdate,
+    SessionNotification,
+    SessionRequest,
+    SessionStarted,
+    TimerFired,
+)
+from lotuspick.core.settings import ClassSettings, RetrySafety, Settings
+
+SECOND_US = 1_000_000
+TICK_US = 10_000
+START_US = 20 * SECOND_US
+WARM_UP_US = 12 * SECOND_US
+MEASURED_US = 6 * SECOND_US
+
+SET_UP_US = 80_000
+FIRST_NOTIFICATION_US = 300_000
+NOTIFICATION_INTERVAL_US = 2 * SECOND_US
+SHORTEST_S, LONGEST_S = 10, 20
+SESSION_KB_PER_S = 250.0
+
+CLIP, EXAM = "clip", "exam"
+EXAM_SHARE = 0.35
+DEADLINE_US = {CLIP: 5 * SECOND_US, EXAM: 3 * SECOND_US}
+COPIES = 3
+HIGHEST_RUNG = 3
+REQUESTED_LENGTH_US = 15e6
+
+MEAN_LENGTH_S = 15
+MEAN_REQUESTED_KB_PER_S = 360.0 * 0.5
+FULL_LINK_RATIO, FREE_LINK_RATIO = 1 / 1.7, 4.0
+"""What the links give over what the sessions ask for."""
+
+
+def link_capacity(nodes: int, rate_per_s: int, links_full: bool) -> float:
+    """Capacity of each server's link, kB a second."""
+    requested_kb_per_s = rate_per_s * MEAN_LENGTH_S * MEAN_REQUESTED_KB_PER_S
+    return requested_kb_per_s / nodes * (FULL_LINK_RATIO if links_full else FREE_LINK_RATIO)
+
+
+def make_settings(nodes: int, link_kb_per_s: float) -> Settings:
+    """Settings of a site with two classes, whose servers all have the same link."""
+    return Settings(
+        zone="a",
+        brokers=1,
+        classes=[
+            ClassSettings(CLIP, 1_500_000),
+            ClassSettings(EXAM, 800_000, RetrySafety.NOT_IDEMPOTENT, 2.0, 1.4, 1),
+        ],
+        ladder_kb_per_s=[90.0, 180.0, 360.0, 720.0],
+        rung_values=[0.25, 0.5, 0.8, 1.0],
+        stream_limit_by_kind={"box": 10_000.0},
+        positions=nodes,
+        link_kb_per_weight=link_kb_per_s,
+        weight_kind="nominal",
+        notification_interval_us=NOTIFICATION_INTERVAL_US,
+        notification_delay_us=500_000,
+        max_attempts=3,
+        dial_timeout_us=250_000,
+        retry_after_allowed=True,
+        max_retry_after_us=2 * SECOND_US,
+        inline_load_reports=True,
+    )
+
+
+class SimulatedFleet:
+    """Viewers that request sessions, and servers that play what is forwarded to them."""
+
+    def __init__(self, nodes: int, rate_per_s: int, link_kb_per_s: float, seed: int) -> None:
+        self._nodes = nodes
+        self._rate_per_s = rate_per_s
+        self._link_kb_per_s = link_kb_per_s
+        self._random = random.Random(seed)
+        self._due: list[tuple[int, float, Event]] = []  # a heap by time; the second breaks ties at random
+        self._kb_per_s_by_session: dict[str, float] = {}
+        self._kb_per_s_by_server = {entry.server: 0.0 for entry in self.server_entries()}
+        self._requested = 0
+        self._requests_due = 0.0  # a tick's share of the rate may be less than one request
+
+    def server_entries(self) -> list[ServerEntry]:
+        """The endpoint list."""
+        return [ServerEntry(f"s{position}", "a", "box", position) for position in range(self._nodes)]
+
+    def take_events(self, now: int) -> list[Event]:
+        """What has happened since the last tick."""
+        events: list[Event] = []
+        while self._due and self._due[0][0] <= now:
+            events.append(self._happen(heapq.heappop(self._due)[2]))
+        self._requests_due += self._rate_per_s * TICK_US / SECOND_US
+        while self._requests_due >= 1:
+            self._requests_due -= 1
+            events.append(self._request_session(now))
+        return events
+
+    def carry_out(self, now: int, actions: Sequence[Action]) -> None:
+        """Let timers run and sessions play as the controller says."""
+        for action in actions:
+            if isinstance(action, StartTimer):
+                self._schedule(now + max(action.delay_us, 1), TimerFired(action.timer_id))
+            elif isinstance(action, ForwardAttempt):
+                self._play(now, action.session, action.server)
+            elif isinstance(action, RejectSession | FailSession):
+                self._kb_per_s_by_session.pop(action.session, None)
+
+    def _happen(self, event: Event) -> Event:
+        """Follow the load of the links; a notification tells the load of the moment at which it leaves."""
+        if isinstance(event, AttemptEnded):
+            self._kb_per_s_by_server[event.server] -= self._kb_per_s_by_session.pop(event.session, 0.0)
+        elif isinstance(event, SessionNotification):
+            load = self._kb_per_s_by_server[event.server] / self._link_kb_per_s
+            return SessionNotification(event.session, event.server, "link", load)
+        return event
+
+    def _request_session(self, now: int) -> SessionRequest:
+        self._requested += 1
+        session_class = EXAM if self._random.random() < EXAM_SHARE else CLIP
+        home = self._random.randrange(self._nodes)
+        return SessionRequest(
+            f"q{self._requested}",
+            session_class,
+            f"t{home}",
+            home,
+            COPIES,
+            HIGHEST_RUNG,
+            now + DEADLINE_US[session_class],
+            REQUESTED_LENGTH_US,
+        )
+
+    def _play(self, now: int, session: str, server: str) -> None:
+        self._kb_per_s_by_session[session] = SESSION_KB_PER_S
+        self._kb_per_s_by_server[server] += SESSION_KB_PER_S
+        started_at = now + SET_UP_US
+        ends_at = started_at + int(self._random.uniform(SHORTEST_S, LONGEST_S) * SECOND_US)
+        self._schedule(started_at, SessionStarted(session, 0, server, SET_UP_US))
+        for notified_at in range(now + FIRST_NOTIFICATION_US, ends_at, NOTIFICATION_INTERVAL_US):
+            self._schedule(notified_at, SessionNotification(session, server, "link", 0.0))
+        self._schedule(ends_at, AttemptEnded(session, 0, server, AttemptOutcome.SERVED, final=True))
+
+    def _schedule(self, at_us: int, event: Event) -> None:
+        heapq.heappush(self._due, (at_us, len(self._due) + self._random.random(), event))
+
+
+def measure_cost(nodes: int, rate_per_s: int, links_full: bool, seed: int) -> list[float]:
+    """Time one controller under this load.
+
+    Returns:
+        Processor time in ``Controller.handle`` after the warm-up, in microseconds: the mean for each
+        request, and of the ticks with events the median, the 99th percentile and the longest.
+    """
+    link_kb_per_s = link_capacity(nodes, rate_per_s, links_full)
+    controller = Controller(make_settings(nodes, link_kb_per_s), seed)
+    fleet = SimulatedFleet(nodes, rate_per_s, link_kb_per_s, seed)
+    controller.handle(0, [ServerListUpdate(fleet.server_entries(), complete=True)])
+    seconds_of_ticks: list[float] = []
+    requests = 0
+    gc.freeze()
+    for elapsed_us in range(0, WARM_UP_US + MEASURED_US, TICK_US):
+        now = START_US + elapsed_us
+        events = fleet.take_events(now)
+        if not events:
+            continue
+        began_s = time.process_time()
+        actions = controller.handle(now, events)
+        ended_s = time.process_time()
+        if elapsed_us >= WARM_UP_US:
+            seconds_of_ticks.append(ended_s - began_s)
+            requests += sum(isinstance(event, SessionRequest) for event in events)
+        fleet.carry_out(now, actions)
+    percentiles = statistics.quantiles(seconds_of_ticks, n=100)
+    mean_s = sum(seconds_of_ticks) / max(1, requests)
+    return [seconds * 1e6 for seconds in (mean_s, percentiles[49], percentiles[98], max(seconds_of_ticks))]
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,17 +1,18 @@
-"""What a broker takes before and while it serves: start time and memory that it shares with nobody.
+"""What a broker takes before and while it serves: start time, and memory that no other process shares.
 
     python benchmarks/start.py                       # this tree
     python benchmarks/start.py --against OTHER_TREE  # paired: both trees in turn
 
-Each run starts two brokers at once by the line ``run`` of the tree's deploy/balancer.toml, so that what one program
-shares between its processes counts as shared, in a tree whose line ``build`` has been carried out. ``start_s`` is the
-time from the start of the process until it passes a test, ``empty_mib`` its private memory then (Private_Clean +
-Private_Dirty of /proc/PID/smaps_rollup), ``served_mib`` after it served viewers at 30 requests a second and
-``slope_mib_h`` by how much it grew an hour over the last two thirds of that (least squares; it takes ``--seconds`` of
-several minutes to mean something). Where the kernel does not tell private memory, the run fails.
+Each run starts two brokers at once by the line ``run`` of the tree's deploy/balancer.toml, so that what one
+program shares between its processes counts as shared, in a tree whose line ``build`` has been carried out.
+``start_s`` is the time from the start of the process until it answers a ping, ``empty_mib`` its private
+memory then (Private_Clean + Private_Dirty of /proc/PID/smaps_rollup), ``served_mib`` after it served
+viewers at 30 requests a second and ``slope_mib_h`` by how much it grew an hour over the last two thirds of
+that (least squares; it takes ``--seconds`` of several minutes to mean something). Where the kernel does not
+report private memory, the run fails.
 
-The tree that goes first alternates from run to run. The servers, the coordinator and the viewers are always this
-tree's; that the brokers are the other tree's own is checked before anything is measured.
+The tree that goes first alternates from run to run. The edge servers, the coordinator and the viewers are
+always this tree's; that the brokers are the other tree's own is checked before anything is measured.
 """
 
 from __future__ import annotations
@@ -30,34 +31,60 @@
 import threading
 import time
 import tomllib
+from collections.abc import Iterator, Sequence
+from contextlib import ExitStack, contextmanager
+from dataclasses import dataclass, fields
 from pathlib import Path
+from typing import Any
 
 import numpy as np
 
-HERE = Path(__file__).resolve().parent.parent
-sys.path.insert(0, str(HERE))
-
-from lotuspick.lab.fleet.rig import SETTINGS, Coordinator, Server  # noqa: E402
-from lotuspick.lab.load.arrivals import Kind, Load, Phase, drawn  # noqa: E402
-from lotuspick.lab.load.sender import Sender, Target  # noqa: E402
-
-BROKERS, NODES, RATE, STARTED_S = 2, 60, 30.0, 30.0
-ASK = (
+sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
+
+from benchmarks.trees import PACKAGE, THIS_TREE, BenchmarkError, check_module_file, run_order
+from lotuspick.lab.fleet.rig import SETTINGS, Coordinator, Server
+from lotuspick.lab.load.arrivals import Kind, Load, Phase, drawn
+from lotuspick.lab.load.sender import Sender, Target
+
+SCRIPT = "benchmarks/start.py"
+LOOPBACK = "127.0.0.1"
+BROKERS = 2
+EDGE_SERVERS = 60
+REQUESTS_PER_S = 30.0
+SESSION_CLASSES = [Kind("clip", 0.7, 3.0, 8.0), Kind("exam", 0.3, 3.0, 8.0)]
+READY_TIMEOUT_S = 30.0
+READY_POLL_S = 0.002
+SAMPLE_INTERVAL_S = 2.0
+PING = (
     b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: 0000000000000001\r\nContent-Length: 0\r\n\r\n"
 )
-FIGURES = ("start_s", "empty_mib", "served_mib", "slope_mib_h")
-SAMPLE_S = 2.0
-PRINT_MODULE_FILES = """
+PING_ANSWERED = b"RTSP/1.0 200"
+PRINT_MODULE_FILES = f"""
 import sys
-import lotuspick.program.serve
-for name, module in sorted(sys.modules.items()):
-    if name.partition(".")[0] == "lotuspick":
+import {PACKAGE}.program.serve
+for name, module in sys.modules.items():
+    if name.partition(".")[0] == "{PACKAGE}":
         print(module.__file__)
 """
 
 
-class BenchmarkError(Exception):
-    """A run that failed, or that would not measure the tree that it is asked to measure."""
+@dataclass(frozen=True)
+class BrokerFigures:
+    """What one broker took in one run."""
+
+    start_s: float
+    empty_mib: float
+    served_mib: float
+    slope_mib_h: float
+
+
+@dataclass(frozen=True)
+class RunningBroker:
+    """A broker that answers."""
+
+    process: subprocess.Popen[bytes]
+    port: int
+    start_s: float
 
 
 def run_line(tree: Path) -> str:
@@ -85,178 +112,237 @@
         text=True,
     )
     if done.returncode != 0:
-        raise BenchmarkError(f"{tree} cannot import its package: {done.stderr.strip()}")
+        raise BenchmarkError(f"{tree} cannot import its package:\n{done.stderr.strip()}")
     for file in done.stdout.splitlines():
-        if not Path(file).resolve().is_relative_to(tree / "lotuspick"):
-            raise BenchmarkError(f"{tree} imports {file}, which is not its own")
+        check_module_file(file, tree)
 
 
 def free_port() -> int:
     """A port of the loopback address on which nobody listens now."""
     with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
+        probe.bind((LOOPBACK, 0))
         port: int = probe.getsockname()[1]
         return port
 
 
 def private_mib(pid: int) -> float:
-    """Memory of a process that no other shares."""
+    """Memory of a process that no other shares.
+
+    Raises:
+        BenchmarkError: the kernel does not report it.
+    """
     lines = Path(f"/proc/{pid}/smaps_rollup").read_text(encoding="ascii").splitlines()
-    kb = [int(line.split()[1]) for line in lines if line.startswith(("Private_Clean:", "Private_Dirty:"))]
-    if not kb:
-        raise RuntimeError("the kernel does not tell private memory")
-    return sum(kb) / 1024
+    private_kib = [
+        int(line.split()[1]) for line in lines if line.startswith(("Private_Clean:", "Private_Dirty:"))
+    ]
+    if not private_kib:
+        raise BenchmarkError("the kernel does not report private memory")
+    return sum(private_kib) / 1024
+
+
+def answers_ping(port: int) -> bool:
+    """Whether a broker listens at a port and answers."""
+    try:
+        with socket.create_connection((LOOPBACK, port), 1.0) as connection:
+            connection.sendall(PING)
+            return connection.recv(1_000).startswith(PING_ANSWERED)
+    except OSError:
+        return False
+
 
+def wait_until_ready(port: int, process: subprocess.Popen[bytes], began_s: float) -> float:
+    """Seconds from the start of a broker until it answers.
 
-def ready(port: int, process: subprocess.Popen[bytes], began_s: float) -> float:
-    """Seconds from the start until a test is passed."""
-    while time.perf_counter() - began_s < STARTED_S:
+    Raises:
+        BenchmarkError: it ended, or does not answer in time.
+    """
+    while time.perf_counter() - began_s < READY_TIMEOUT_S:
         if process.poll() is not None:
-            raise RuntimeError("a broker ended")
-        try:
-            with socket.create_connection(("127.0.0.1", port), 1.0) as link:
-                link.sendall(ASK)
-                if link.recv(1_000).startswith(b"RTSP/1.0 200"):
-                    return time.perf_counter() - began_s
-        except OSError:
-            pass
-        time.sleep(0.002)
-    raise RuntimeError("a broker did not become ready")
-
-
-def one(tree: Path, seconds: float, seed: int) -> dict[str, list[float]]:
-    """Start the tree's brokers, load them, and end them."""
-    run = run_line(tree)
-    coordinator = Server(("127.0.0.1", 0), Coordinator)
-    threading.Thread(target=coordinator.serve_forever, daemon=True).start()
-    found: dict[str, list[float]] = {name: [] for name in FIGURES}
-    started: list[subprocess.Popen[bytes]] = []
-    with tempfile.TemporaryDirectory() as folder:
-        nodes = subprocess.Popen(
-            [
-                sys.executable,
-                "-m",
-                "lotuspick.lab.seats.nodes",
-                str(NODES),
-                str(seed),
-                f"{folder}/ran.log",
-                "{}",
-            ],
-            cwd=HERE,
-            stdout=subprocess.PIPE,
-        )
-        assert nodes.stdout is not None
-        servers = [
-            {
-                "id": f"s-{at}",
-                "addr": f"127.0.0.1:{port}",
-                "zone": "a",
-                "kind": "box",
-                "cell": at,
-                "state": "in_service",
-                "weight": 1,
-                "started_ms": 0,
-            }
-            for at, port in enumerate(json.loads(nodes.stdout.readline()))
-        ]
-        ports = [free_port() for _ in range(BROKERS)]
-        try:
-            for at, port in enumerate(ports):
-                config = Path(folder, f"{at}.json")
-                config.write_text(
-                    json.dumps(
-                        {
-                            "name": f"n{at}",
-                            "listen": f"127.0.0.1:{port}",
-                            "seed": f"{seed * 10 + at:x}",
-                            "coordinator": f"127.0.0.1:{coordinator.server_address[1]}",
-                            "limits": {"cores": 1.0, "memory_mb": 80, "sockets": 1_024},
-                            "settings": {
-                                **SETTINGS,
-                                "FamilyInfo": {**SETTINGS["FamilyInfo"], "Cells": NODES},
-                            },
-                            "known": {
-                                "index": 1,
-                                "updates": [
-                                    {
-                                        "index": 1,
-                                        "endpoints": {"version": 1, "full": True, "servers": servers},
-                                    }
-                                ],
-                            },
-                        }
-                    ),
-                    encoding="utf-8",
-                )
-                began_s = time.perf_counter()
-                started.append(
-                    subprocess.Popen(
-                        ["/bin/sh", "-c", run],
-                        cwd=tree,
-                        stdout=subprocess.DEVNULL,
-                        stderr=subprocess.DEVNULL,
-                        env={"PATH": os.environ["PATH"], "PROXY_CONFIG": str(config)},
-                    )
-                )
-                found["start_s"].append(ready(port, started[-1], began_s))
-            found["empty_mib"] = [private_mib(each.pid) for each in started]
-            kinds = [Kind("clip", 0.7, 3.0, 8.0), Kind("exam", 0.3, 3.0, 8.0)]
-            load = Load([Phase("p", seconds, RATE)], kinds, ceilings={2: 1.0})
-            found["slope_mib_h"] = asyncio.run(play(ports, load, seed, [each.pid for each in started]))
-            found["served_mib"] = [private_mib(each.pid) for each in started]
-        finally:
-            for each in (*started, nodes):
-                each.send_signal(signal.SIGTERM)
-            for each in (*started, nodes):
-                each.wait()
-            nodes.stdout.close()
-            coordinator.shutdown()
-            coordinator.server_close()
-    return found
-
-
-async def play(ports: list[int], load: Load, seed: int, pids: list[int]) -> list[float]:
-    """The same load on each broker; returns the slope of each one's memory, MiB an hour."""
-    senders = [Sender(list(drawn(load, seed + at)), Target(port, NODES)) for at, port in enumerate(ports)]
-    samples: list[list[float]] = []
+            raise BenchmarkError("a broker ended")
+        if answers_ping(port):
+            return time.perf_counter() - began_s
+        time.sleep(READY_POLL_S)
+    raise BenchmarkError("a broker did not become ready")
+
+
+@contextmanager
+def running_coordinator() -> Iterator[int]:
+    """A coordinator that has no news; its port."""
+    server = Server((LOOPBACK, 0), Coordinator)
+    threading.Thread(target=server.serve_forever, daemon=True).start()
+    try:
+        yield server.server_address[1]
+    finally:
+        server.shutdown()
+        server.server_close()
 
-    async def sample() -> None:
-        while True:
-            samples.append([time.monotonic(), *map(private_mib, pids)])
-            await asyncio.sleep(SAMPLE_S)
 
-    sampler = asyncio.create_task(sample())
-    for found in await asyncio.gather(*(each.run() for each in senders)):
-        if not found:
-            raise RuntimeError("nothing was sent")
-    sampler.cancel()
+@contextmanager
+def ended_with_block(process: subprocess.Popen[bytes]) -> Iterator[subprocess.Popen[bytes]]:
+    """Stop a process at the end of a block."""
+    try:
+        yield process
+    finally:
+        process.send_signal(signal.SIGTERM)
+        process.wait()
+
+
+@contextmanager
+def running_edge_servers(folder: Path, seed: int) -> Iterator[list[int]]:
+    """Simulated edge servers; their ports."""
+    command = [sys.executable, "-m", "lotuspick.lab.seats.nodes"]
+    arguments = [str(EDGE_SERVERS), str(seed), str(folder / "ran.log"), "{}"]
+    process = subprocess.Popen([*command, *arguments], cwd=THIS_TREE, stdout=subprocess.PIPE)
+    with ended_with_block(process):
+        assert process.stdout is not None
+        with process.stdout:
+            yield json.loads(process.stdout.readline())
+
+
+def endpoint(position: int, port: int) -> dict[str, Any]:
+    """An entry of the endpoint list, in the coordinator's form."""
+    return {
+        "id": f"s-{position}",
+        "addr": f"{LOOPBACK}:{port}",
+        "zone": "a",
+        "kind": "box",
+        "cell": position,
+        "state": "in_service",
+        "weight": 1,
+        "started_ms": 0,
+    }
+
+
+def broker_configuration(
+    index: int, port: int, seed: int, coordinator_port: int, edge_ports: Sequence[int]
+) -> dict[str, Any]:
+    """What a broker reads at its start, in the platform's form."""
+    servers = [endpoint(position, edge_port) for position, edge_port in enumerate(edge_ports)]
+    complete_list = {"version": 1, "full": True, "servers": servers}
+    return {
+        "name": f"n{index}",
+        "listen": f"{LOOPBACK}:{port}",
+        "seed": f"{seed * 10 + index:x}",
+        "coordinator": f"{LOOPBACK}:{coordinator_port}",
+        "limits": {"cores": 1.0, "memory_mb": 80, "sockets": 1_024},
+        "settings": {**SETTINGS, "FamilyInfo": {**SETTINGS["FamilyInfo"], "Cells": EDGE_SERVERS}},
+        "known": {"index": 1, "updates": [{"index": 1, "endpoints": complete_list}]},
+    }
+
+
+@contextmanager
+def running_broker(
+    tree: Path, path: Path, configuration: dict[str, Any], port: int
+) -> Iterator[RunningBroker]:
+    """A broker of a tree that has become ready.
+
+    Args:
+        tree: whose line ``run`` starts it.
+        path: the file to which its configuration is written.
+        configuration: what it reads at its start.
+        port: on which it listens.
+    """
+    path.write_text(json.dumps(configuration), encoding="utf-8")
+    began_s = time.perf_counter()
+    process = subprocess.Popen(
+        ["/bin/sh", "-c", run_line(tree)],
+        cwd=tree,
+        stdout=subprocess.DEVNULL,
+        stderr=subprocess.DEVNULL,
+        env={"PATH": os.environ["PATH"], "PROXY_CONFIG": str(path)},
+    )
+    with ended_with_block(process):
+        yield RunningBroker(process, port, wait_until_ready(port, process, began_s))
+
+
+async def sample_memory(pids: Sequence[int], samples: list[list[float]]) -> None:
+    """Append the time and the private memory of each process, until cancelled."""
+    while True:
+        samples.append([time.monotonic(), *map(private_mib, pids)])
+        await asyncio.sleep(SAMPLE_INTERVAL_S)
+
+
+def slopes_per_hour(samples: Sequence[Sequence[float]]) -> list[float]:
+    """By how much each column grows an hour, over the last two thirds; the first column is seconds."""
     at_s, *columns = np.array(samples[len(samples) // 3 :]).T
     return [float(np.polyfit(at_s - at_s[0], column, 1)[0]) * 3_600 for column in columns]
 
 
+async def serve_viewers(brokers: Sequence[RunningBroker], seconds: float, seed: int) -> list[float]:
+    """Put the same load on each broker.
+
+    Returns:
+        By how much the private memory of each grew, MiB an hour.
+
+    Raises:
+        BenchmarkError: nothing was sent.
+    """
+    load = Load([Phase("p", seconds, REQUESTS_PER_S)], SESSION_CLASSES, ceilings={2: 1.0})
+    senders = [
+        Sender(list(drawn(load, seed + index)), Target(broker.port, EDGE_SERVERS))
+        for index, broker in enumerate(brokers)
+    ]
+    samples: list[list[float]] = []
+    sampler = asyncio.create_task(sample_memory([broker.process.pid for broker in brokers], samples))
+    for found in await asyncio.gather(*(sender.run() for sender in senders)):
+        if not found:
+            raise BenchmarkError("nothing was sent")
+    sampler.cancel()
+    return slopes_per_hour(samples)
+
+
+def measure(tree: Path, seconds: float, seed: int) -> list[BrokerFigures]:
+    """Start the tree's brokers, load them, and end them."""
+    with ExitStack() as stack:
+        folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
+        coordinator_port = stack.enter_context(running_coordinator())
+        edge_ports = stack.enter_context(running_edge_servers(folder, seed))
+        brokers = []
+        for index, port in enumerate([free_port() for _ in range(BROKERS)]):
+            configuration = broker_configuration(index, port, seed, coordinator_port, edge_ports)
+            path = folder / f"{index}.json"
+            brokers.append(stack.enter_context(running_broker(tree, path, configuration, port)))
+        empty_mib = [private_mib(broker.process.pid) for broker in brokers]
+        slopes_mib_h = asyncio.run(serve_viewers(brokers, seconds, seed))
+        return [
+            BrokerFigures(broker.start_s, empty, private_mib(broker.process.pid), slope)
+            for broker, empty, slope in zip(brokers, empty_mib, slopes_mib_h)
+        ]
+
+
+def measure_in_turn(trees: Sequence[Path], runs: int, seconds: float) -> list[list[BrokerFigures]]:
+    """The figures of all brokers of each tree."""
+    figures_by_tree: list[list[BrokerFigures]] = [[] for _ in trees]
+    for run in range(runs):
+        for index in run_order(trees, run):
+            figures_by_tree[index] += measure(trees[index], seconds, seed=run + 1)
+    return figures_by_tree
+
+
+def print_table(figures_by_tree: Sequence[Sequence[BrokerFigures]]) -> None:
+    """Print a line for each figure: for each tree the median, the least and the most."""
+    for field in fields(BrokerFigures):
+        columns = []
+        for figures in figures_by_tree:
+            values = [getattr(each, field.name) for each in figures]
+            columns.append(f"{statistics.median(values):7.2f} ({min(values):.2f} to {max(values):.2f})")
+        print(f"{field.name:11}", "  ".join(columns))
+
+
 def main() -> None:
+    """Measure and print."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--against", type=Path, help="another tree of this project, built")
     parser.add_argument("--runs", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=20.0, help="of load")
-    told = parser.parse_args()
-    trees = [HERE, *([told.against.resolve()] if told.against else [])]
+    options = parser.parse_args()
+    trees = [THIS_TREE, *([options.against.resolve()] if options.against else [])]
     try:
         for tree in trees:
             check_tree(tree)
+        print_table(measure_in_turn(trees, options.runs, options.seconds))
     except BenchmarkError as error:
-        sys.exit(f"benchmarks/start.py: {error}")
-    all_found: list[dict[str, list[float]]] = [{name: [] for name in FIGURES} for _ in trees]
-    for turn in range(1, told.runs + 1):
-        for index in range(len(trees)) if turn % 2 else reversed(range(len(trees))):
-            for name, values in one(trees[index], told.seconds, turn).items():
-                all_found[index][name] += values
-    for name in FIGURES:
-        columns = []
-        for found in all_found:
-            values = found[name]
-            columns.append(f"{statistics.median(values):7.2f} ({min(values):.2f} to {max(values):.2f})")
-        print(f"{name:11}", "  ".join(columns))
+        sys.exit(f"{SCRIPT}: {error}")
 
 
 if __name__ == "__main__":
