--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -9,10 +9,10 @@
 from typing import Any
 from unittest.mock import Mock
 
-from scenario import Broker, World
+from scenario import Broker, Scenario, World
 from stepped import Stepped
 from test_held_up import ANSWER, ID, SETUP, frame
-from test_scenarios import Malformed, Scenario
+from test_scenarios import Malformed
 from twisted.internet import error
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -10,8 +10,7 @@
 from pathlib import Path
 from unittest import mock
 
-from scenario import World
-from test_scenarios import PLAYING
+from scenario import PLAYING, World
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from test_scenarios import PLAYING, Scenario
+from scenario import PLAYING, Scenario
 
 LATE = {"DialTimeoutUs": 8_000_000}  # the kernel dials again after 1 and 3 s: so long a dial is out
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -7,8 +7,7 @@
 from unittest.mock import Mock
 
 from helpers import NOW, SECOND, entry, request, settings
-from scenario import World
-from test_scenarios import Scenario
+from scenario import Scenario, World
 from twisted.internet.testing import MemoryReactorClock
 
 from lotuspick.core.events import ServerListUpdate
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -8,7 +8,7 @@
 from unittest.mock import Mock
 
 from helpers import SECOND, controller, of, request, servers, settings
-from test_scenarios import Scenario
+from scenario import Scenario
 
 from lotuspick.core.actions import FailSession, ForwardAttempt
 from lotuspick.core.controller import Controller
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -3,25 +3,8 @@
 from __future__ import annotations
 
 import unittest
-from typing import Any
 
-from scenario import World
-
-PLAYING = """
-    v1 send SETUP s1 kind=exam body=offer
-    e0 expect OPENED
-    e0 expect SETUP s1 class=exam title=aa00 rung=1 body=offer
-    e0 send ANSWER s1 body=answer
-    v1 expect 200 s1 cseq=1 body=answer
-"""
-
-
-class Scenario(unittest.TestCase):
-    def play(self, script: str, **world: Any) -> None:
-        made = World(**world)
-        self.addCleanup(made.end)
-        made.play(script)
-        self.assertNotIn("Traceback", "".join(made.broker.log))
+from scenario import PLAYING, Scenario
 
 
 class Sessions(Scenario):
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -8,8 +8,7 @@
 from typing import Any
 
 from helpers import SECOND, entry
-from scenario import World
-from test_scenarios import PLAYING, Scenario
+from scenario import PLAYING, Scenario, World
 
 from lotuspick.core.actions import ForwardAttempt
 from lotuspick.core.controller import Controller
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -7,9 +7,9 @@
 import signal
 import unittest
 
-from scenario import Broker, World
+from scenario import PLAYING, Broker, Scenario, World
 from test_deploy import DEPLOY, here
-from test_scenarios import PLAYING, Bounds, Scenario
+from test_scenarios import Bounds
 
 RUN = here(DEPLOY["run"])
 SETUP = Bounds.SET_UP % 1
