--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -12,7 +12,7 @@
 from scenario import Broker, Scenario, World
 from stepped import Stepped
 from test_held_up import ANSWER, ID, SETUP, frame
-from test_scenarios import Malformed
+from test_scenario_input import Malformed
 from twisted.internet import error
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
--- /dev/null
+++ b/tests/test_routing_termination.py
@@ -0,0 +1,31 @@
+"""The ways in which attempts end."""
+
+from __future__ import annotations
+
+import unittest
+
+from lotuspick.core.events import (
+    PROVES_NOT_EXECUTED,
+)
+from lotuspick.routing.termination import ATTEMPT_OUTCOMES, TerminationReason
+
+
+class Endings(unittest.TestCase):
+    def test_every_ending_has_an_outcome_and_only_proof_counts_as_proof(self) -> None:
+        self.assertEqual(set(ATTEMPT_OUTCOMES), set(TerminationReason))
+        proofs = {
+            ending.name for ending, outcome in ATTEMPT_OUTCOMES.items() if outcome in PROVES_NOT_EXECUTED
+        }
+        self.assertEqual(
+            proofs,
+            {
+                "DIAL_REFUSED",
+                "DIAL_TIMEOUT",
+                "DIAL_FAILED",
+                "NO_ADDRESS",
+                "QUEUE_FULL",
+                "UNSENT",
+                "REJECTED_BY_SERVER",
+                "NOT_STARTED",
+            },
+        )
--- /dev/null
+++ b/tests/test_rtsp_messages.py
@@ -0,0 +1,125 @@
+"""The codec of RTSP, under any input."""
+
+from __future__ import annotations
+
+import unittest
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from lotuspick.protocol import edge_messages, rtsp
+from lotuspick.protocol.errors import MOST_BYTES, ProtocolError
+from lotuspick.routing.interfaces import AttemptRequest
+
+ID = "9b1f03aa5c7e2d41"
+TERMS = rtsp.Terms(frozenset({"paid"}), positions=12, rungs=5)
+HEAD = [
+    b"SETUP rtsp://media/7f3a9c21e0b4d655 RTSP/1.0",
+    b"CSeq: 1",
+    f"Session: {ID}".encode(),
+    b"P-Kind: paid",
+    b"P-Time-Left: 1500",
+    b"X-Length: 8200.0",
+    b"P-Path: home:4;copies:3;top:4;viewer:00000000b4d65521;again:1",
+    b"Content-Length: 3",
+    b"",
+]
+
+
+def decode(lines: list[bytes], body: bytes) -> rtsp.Message | None:
+    decoder = rtsp.Decoder()
+    lengths = [decoder.line(line) for line in lines]
+    return decoder.body(body) if lengths[-1] is not None else None
+
+
+class Rtsp(unittest.TestCase):
+    def test_a_set_up(self) -> None:
+        message = decode(HEAD, b"abc")
+        assert message is not None
+        asked = rtsp.read_set_up(message, 1_000_000, TERMS)
+        request = asked.request
+        self.assertEqual(
+            (request.session, request.session_class, request.title), (ID, "paid", "7f3a9c21e0b4d655")
+        )
+        self.assertEqual((request.home_position, request.copies, request.highest_rung), (4, 3, 4))
+        self.assertEqual((request.deadline_us, request.length_us), (2_500_000, 8_200_000.0))
+        self.assertTrue(request.returned)
+        self.assertEqual(asked.description, b"abc")
+
+    def test_each_bad_field_is_named(self) -> None:
+        for good, bad, fault in (
+            (b"Session: " + ID.encode(), b"Session: 12", "Session"),
+            (b"P-Time-Left: 1500", b"P-Time-Left: -1", "P-Time-Left"),
+            (b"P-Kind: paid", b"P-Kind: free", "P-Kind"),
+            (b"home:4;", b"home:x;", "home"),
+            (b"copies:3;", b"", "copies"),
+            (b"top:4;", b"top;", "P-Path"),
+            (b"P-Kind: paid", b"P-Kinds: paid", "P-Kind"),
+            (b"media/7f3a9c21e0b4d655", b"media/", "title"),
+        ):
+            lines = [line.replace(good, bad) for line in HEAD]
+            with self.subTest(bad), self.assertRaisesRegex(ProtocolError, fault):
+                message = decode(lines, b"abc")
+                assert message is not None
+                rtsp.read_set_up(message, 0, TERMS)
+
+    def test_a_hint_that_makes_no_sense_is_none(self) -> None:
+        for text in (b"nan", b"-1", b"long", b"inf", b"0"):
+            message = decode([line.replace(b"8200.0", text) for line in HEAD], b"abc")
+            assert message is not None
+            self.assertIsNone(rtsp.read_set_up(message, 0, TERMS).request.length_us)
+
+    def test_nobody_is_waited_for_for_hours(self) -> None:
+        message = decode([line.replace(b"1500", b"86400000") for line in HEAD], b"abc")
+        assert message is not None
+        self.assertEqual(
+            rtsp.read_set_up(message, 0, TERMS).request.deadline_us, rtsp.MAX_DEADLINE_MS * 1_000
+        )
+
+    def test_what_no_edge_message_could_hold_is_turned_away_at_the_door(self) -> None:
+        for size, good in ((MOST_BYTES - 300, True), (MOST_BYTES - 200, False)):
+            message = rtsp.Message(
+                "SETUP",
+                rtsp.BASE + "t" * 16,
+                headers={
+                    "session": ID,
+                    "p-kind": "paid",
+                    "p-time-left": "9",
+                    "p-path": "home:0;copies:1;top:0",
+                },
+                body=b"x" * size,
+            )
+            if good:
+                edge_messages.set_up(
+                    AttemptRequest(
+                        ID, "paid", "t" * 16, 2, 9, rtsp.read_set_up(message, 0, TERMS).description
+                    )
+                )
+            else:
+                with self.assertRaisesRegex(ProtocolError, "too long"):
+                    rtsp.read_set_up(message, 0, TERMS)
+
+    def test_the_bound_holds_for_heads_and_bodies(self) -> None:
+        for lines in (
+            [HEAD[0], *(b"h%d: %s" % (n, b"x" * 1_000) for n in range(20))],
+            [*HEAD[:7], b"Content-Length: %d" % MOST_BYTES, b""],
+            [HEAD[0], *(b"h%d: x" % n for n in range(200))],
+        ):
+            with self.assertRaises(ProtocolError):
+                decode(lines, b"")
+
+    @given(st.lists(st.one_of(st.sampled_from(HEAD), st.binary(max_size=60))))
+    def test_any_lines(self, lines: list[bytes]) -> None:
+        decoder = rtsp.Decoder()
+        try:
+            for line in lines:
+                length = decoder.line(line)
+                if length is not None:
+                    rtsp.read_set_up(decoder.body(b"x" * length), 0, TERMS)
+        except ProtocolError as fault:
+            self.assertTrue(str(fault))
+
+    def test_phrases_cannot_break_the_head(self) -> None:
+        text = rtsp.response(400, "1", ID, why="a\r\nSession: other\x00\u20ac")
+        self.assertEqual(text.count(b"\r\n"), 5)
+        self.assertTrue(text.startswith(b"RTSP/1.0 400 a Session: other"))
--- /dev/null
+++ b/tests/test_scenario_http.py
@@ -0,0 +1,107 @@
+"""HTTP players and media nodes on the real program."""
+
+from __future__ import annotations
+
+from scenario import Scenario
+
+
+class SecondFront(Scenario):
+    SERVED = """
+        p1 send SETUP s1 kind=exam body=offer CMCD-Request=bl=2000
+        n0 expect SETUP s1 class=exam title=aa00 rung=1 body=offer
+        n0 send 200 body=answer etp=16000
+        p1 expect 200 body=answer
+    """
+
+    def test_a_session_from_set_up_to_its_end(self) -> None:
+        self.play(
+            self.SERVED
+            + """
+            p1 send HINT s1 CMCD=bl%3D1200%2Cmtp%3D3200
+            p1 expect 204
+            n0 send OVER s1 how=finished
+            p1 send WAIT s1
+            p1 expect 410 body=finished
+            p1 send HINT s1 CMCD=bl%3D1200
+            p1 expect 410
+        """,
+            hints=True,
+            n0="up",
+        )
+
+    def test_both_fronts_share_edges_and_rules(self) -> None:
+        self.play(
+            """
+            p1 send SETUP s1 kind=exam body=offer
+            e0 expect OPENED
+            e0 expect SETUP s1 class=exam
+            e0 send ANSWER s1 body=answer
+            p1 expect 200 body=answer
+            v1 send TEARDOWN s1 cause=31
+            e0 expect RELEASE s1 cause=31
+            p1 send SETUP s2 kind=exam
+            e0 expect SETUP s2
+            e0 send RELEASE s2 cause=47
+            p1 expect 500
+        """,
+            hints=True,
+            e0="up",
+        )
+
+    def test_refusals_say_when_to_come_back(self) -> None:
+        self.play(
+            """
+            p1 send SETUP s1 home=3 left=800
+            p1 expect 503 retry=1
+            p1 send READY
+            p1 expect 200
+        """,
+            hints=True,
+            n0="up",
+        )
+
+    def test_bad_input_is_400_with_the_key(self) -> None:
+        self.play(
+            """
+            p1 send SETUP s1 kind=nosuch
+            p1 expect 400 body=~P-Kind
+            p1 send HINT s1 CMCD=bl%3Dsoon
+            p1 expect 400 body=~bl
+            p1 send SETUP s2 left=soon
+            p1 expect 400 body=~P-Time-Left
+            p1 send SETUP s2 kind=ü
+            p1 expect 400 body=~p-kind
+            p1 send HINT s2 CMCD-Status=ü
+            p1 expect 400 body=~cmcd-status
+        """,
+            hints=True,
+            n0="up",
+        )
+
+    def test_a_player_that_leaves_gives_its_set_up_up(self) -> None:
+        self.play(
+            """
+            p1 send SETUP s1 kind=exam
+            n0 expect SETUP s1
+            p1 close
+            n0 expect RELEASE s1
+        """,
+            hints=True,
+            n0="up",
+        )
+
+    def test_a_node_that_turns_away_or_fails(self) -> None:
+        self.play(
+            """
+            p1 send SETUP s1 kind=exam left=1500
+            n0 expect SETUP s1
+            n0 send 503
+            p1 expect 503
+            p2 send SETUP s2 kind=exam left=1500
+            n0 expect SETUP s2
+            n0 send 500
+            p2 expect 500
+        """,
+            hints=True,
+            n0="up",
+        )
--- /dev/null
+++ b/tests/test_scenario_input.py
@@ -0,0 +1,194 @@
+"""Input of viewers and edge servers to the real program: framing, limits and bad fields."""
+
+from __future__ import annotations
+
+from scenario import PLAYING, Scenario
+
+
+class Bounds(Scenario):
+    SET_UP = (
+        b"SETUP rtsp://media/aa00 RTSP/1.0\r\nCSeq: 1\r\nSession: 000000000000000%d\r\nP-Kind: exam\r\n"
+        b"P-Time-Left: 5000\r\nP-Path: home:0;copies:1;top:2\r\nContent-Length: 4\r\n\r\nof\r\n"
+    )
+
+    def test_messages_may_come_in_pieces_and_together(self) -> None:
+        both = self.SET_UP % 1 + self.SET_UP % 2
+        cuts = (0, 3, 33, 95, len(both) // 2 - 1, len(both) // 2 + 1, len(both))
+        pieces = "\n".join(
+            f"v1 send RAW {both[start:end]!r}\nv1 wait 0.02"
+            for start, end in zip(cuts, cuts[1:], strict=False)
+        )
+        self.play(
+            pieces
+            + """
+            e0 expect OPENED
+            e0 expect SETUP s1
+            e0 expect SETUP s2
+            e0 send ANSWER s2 body=two
+            v1 expect 200 s2 body=two
+            e0 send ANSWER s1 body=one
+            v1 expect 200 s1 body=one
+        """
+        )
+
+    def test_a_crowd_of_viewers_that_ask_once_leaves_the_shared_connection_open(self) -> None:
+        """The release of a session whose connection had to go comes where many sessions were set up."""
+        crowd = "\n".join(f"v{each} send SETUP s{each} kind=clip at=e0" for each in range(10, 40))
+        self.play(
+            PLAYING
+            + """
+            v1 send SETUP s2 kind=exam
+            e0 expect SETUP s2
+            e0 send ANSWER s2 body=two
+            v1 expect 200 s2
+            v2 send SETUP s3 kind=exam
+            e0 expect SETUP s3
+            e0 send ANSWER s3 body=three
+            v2 expect 200 s3
+        """
+            + crowd
+            + """
+            v40 wait 0.3
+            v40 send OPTIONS
+            v2 expect CLOSED
+            e0 send RELEASE s3 cause=16
+            v1 expect TEARDOWN s3 why=cause=16
+        """,
+            limits={"sockets": 64},
+        )
+
+    def test_viewers_keep_to_half_of_the_descriptors(self) -> None:
+        crowd, more = (
+            "\n".join(f"v{each} send OPTIONS\nv{each} expect 200" for each in numbers)
+            for numbers in (range(10, 41), range(41, 50))
+        )
+        self.play(
+            """
+            v1 send SETUP s1 kind=exam left=8000
+            e0 expect OPENED
+            e0 expect SETUP s1
+        """
+            + crowd
+            + """
+            v10 wait 0.3
+        """
+            + more
+            + """
+            v10 expect CLOSED
+            e0 send ANSWER s1 body=one
+            v1 expect 200 s1 body=one
+            v49 send OPTIONS
+            v49 expect 200
+        """,
+            limits={"sockets": 64},
+        )
+
+    def test_a_viewer_whose_request_waits_unread_is_not_closed_for_a_newcomer(self) -> None:
+        crowd = "\n".join(f"v{each} send OPTIONS\nv{each} expect 200" for each in range(10, 41))
+        self.play(
+            """
+            v1 send OPTIONS
+            v1 expect 200
+        """
+            + crowd
+            + """
+            b wait 0.3
+            b send STOP
+            v50 send OPTIONS
+            v1 send SETUP s1
+            b send CONT
+            e0 expect OPENED
+            e0 expect SETUP s1
+            e0 send ANSWER s1 body=one
+            v1 expect 200 s1 body=one
+            v10 expect CLOSED
+        """,
+            limits={"sockets": 64},
+        )
+
+
+class Malformed(Scenario):
+    def test_bad_framing_costs_the_connection_and_no_more(self) -> None:
+        for raw in (
+            b"NONSENSE\r\n",
+            b"\xff\xfe\r\n",
+            b"SETUP rtsp://media/a RTSP/1.0\r\nno colon\r\n",
+            b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: 99999\r\n\r\n",
+            b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: -1\r\n\r\n",
+            b"x" * 20000,
+        ):
+            with self.subTest(raw[:30]):
+                self.play(f"""
+                    v1 send RAW {raw!r}
+                    v1 expect 400
+                    v1 expect CLOSED
+                    v2 send OPTIONS
+                    v2 expect 200
+                """)
+
+    def test_a_bad_field_is_named_and_costs_its_request_alone(self) -> None:
+        self.play("""
+            v1 send SETUP s1 kind=nosuch
+            v1 expect 400 s1 reason=~P-Kind
+            v1 send SETUP s2 left=soon
+            v1 expect 400 s2 reason=~P-Time-Left
+            v1 send SETUP s3 path=home:0;copies:0;top:1
+            v1 expect 400 s3 reason=~copies
+            v1 send SETUP s4 path=home:4;copies:1;top:1
+            v1 expect 400 s4 reason=~home
+            v1 send SETUP s5 path=home:0;copies:1;top:3
+            v1 expect 400 s5 reason=~top
+            v2 send ANNOUNCE s5
+            v2 expect 400 s5 reason=~ANNOUNCE
+            v2 send OPTIONS
+            v2 expect 200
+        """)
+
+    def test_who_says_nothing_or_half_a_message_is_closed_soon(self) -> None:
+        for raw in (
+            b"",
+            b"\r\n",
+            b"SETUP rtsp://media/a RTSP/1.0\r\nCSeq: 1\r\n",
+            b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: 9\r\n\r\nhalf",
+        ):
+            with self.subTest(raw):
+                self.play(f"""
+                    v1 send RAW {raw!r}
+                    v1 expect CLOSED
+                """)
+        blank = b"\r\n" * 10_000
+        self.play(f"""
+            v1 send RAW {blank!r}
+            v1 expect 400
+            v1 expect CLOSED
+        """)
+
+    def test_who_asks_wrongly_again_and_again_is_read_slowly(self) -> None:
+        bad = self.WRONG * 5
+        self.play(f"""
+            v1 send RAW {bad!r}
+            v1 expect 400 reason=~P-Kind
+            v1 expect 400 reason=~P-Kind
+            v1 expect 400 reason=~P-Kind
+            v1 expect 400 reason=~P-Kind
+            v2 send OPTIONS
+            v2 expect 200
+            v1 expect 400 reason=~P-Kind
+        """)
+
+    WRONG = (
+        b"SETUP rtsp://media/aa00 RTSP/1.0\r\nCSeq: 1\r\nSession: 0000000000000001\r\nP-Kind: none\r\n"
+        b"Content-Length: 0\r\n\r\n"
+    )
+
+    def test_an_edge_that_breaks_the_framing_loses_its_connection(self) -> None:
+        for raw in (b"\x00\x03\x09ab", b"\xff\xff", b"\x00\x0c\x09" + bytes(8) + b"\x82\x00\x09"):
+            with self.subTest(raw):
+                self.play(
+                    PLAYING
+                    + f"""
+                    e0 send RAW {raw!r}
+                            e0 expect OPENED
+                    v1 expect NOTHING
+                """
+                )
--- /dev/null
+++ b/tests/test_scenario_sessions.py
@@ -0,0 +1,304 @@
+"""Sessions on the real program, from set-up to end, over a reload and a shutdown."""
+
+from __future__ import annotations
+
+from scenario import PLAYING, Scenario
+
+
+class Sessions(Scenario):
+    def test_a_session_from_set_up_to_its_end(self) -> None:
+        self.play(
+            PLAYING
+            + """
+            e0 send RELEASE s1 cause=16
+            v1 expect TEARDOWN s1 why=cause=16
+        """
+        )
+
+    def test_options_are_answered_when_ready(self) -> None:
+        self.play("""
+            v1 send OPTIONS
+            v1 expect 200 cseq=3
+        """)
+
+    def test_a_teardown_may_come_on_any_connection(self) -> None:
+        self.play(
+            PLAYING
+            + """
+            v2 send TEARDOWN s1 cause=31
+            v2 expect 200 s1 cseq=2
+            e0 expect RELEASE s1 cause=31
+            e0 send RELEASE s1 cause=31
+            v1 expect NOTHING
+        """
+        )
+
+    def test_a_session_outlives_its_viewer_connection(self) -> None:
+        self.play(
+            PLAYING
+            + """
+            v1 close
+            e0 expect NOTHING
+            e0 send RELEASE s1 cause=41
+            e0 wait 0.3
+            v2 expect TEARDOWN s1 why=cause=41
+        """
+        )
+
+    def test_a_session_outlives_its_edge_connection(self) -> None:
+        self.play(
+            PLAYING
+            + """
+            e0 close
+            e0 expect OPENED
+            v1 expect NOTHING
+            e0 send RELEASE s1 cause=16
+            v1 expect TEARDOWN s1 why=cause=16
+        """
+        )
+
+    def test_what_plays_already_is_taken_over_without_an_answer(self) -> None:
+        self.play("""
+            v1 send SETUP s7 kind=clip at=e0
+            e0 expect OPENED
+            v1 expect NOTHING
+            e0 send NOTE s7 topic=profile figure=2
+            e0 send RELEASE s7 cause=41
+            v1 expect TEARDOWN s7 why=cause=41
+        """)
+
+    def test_a_session_handed_over_at_an_unknown_server_is_released(self) -> None:
+        self.play("""
+            v1 send SETUP s7 kind=clip at=e9
+            v1 expect TEARDOWN s7 why=cause=41
+        """)
+
+
+class SetUps(Scenario):
+    def test_closing_gives_up_open_set_ups_alone(self) -> None:
+        self.play(
+            PLAYING
+            + """
+            v1 send SETUP s2 kind=exam
+            e0 expect SETUP s2
+            v1 close
+            e0 expect RELEASE s2 cause=16
+            e0 expect NOTHING
+        """
+        )
+
+    def test_an_answer_that_crosses_the_give_up_leaves_nothing_standing(self) -> None:
+        self.play("""
+            v1 send SETUP s1 kind=exam
+            e0 expect OPENED
+            e0 expect SETUP s1
+            v1 send TEARDOWN s1
+            v1 expect 200 s1 cseq=2
+            e0 expect RELEASE s1 cause=16
+            e0 send ANSWER s1 body=late
+            e0 expect RELEASE s1 cause=31
+            v1 expect NOTHING
+        """)
+
+    def test_paid_goes_on_only_after_proof_that_it_never_ran(self) -> None:
+        self.play(
+            """
+            v1 send SETUP s1 kind=exam copies=2
+            e1 expect OPENED
+            e1 expect SETUP s1
+            e1 send ANSWER s1 body=one
+            v1 expect 200 s1 body=one
+        """,
+            e0="refused",
+            e1="up",
+        )
+
+    def test_paid_that_may_have_run_fails(self) -> None:
+        for how in (
+            "e0 send RELEASE s1 cause=47",
+            "e0 send RELEASE s1 cause=41",
+            "e0 close",
+            "e0 close reset",
+        ):
+            with self.subTest(how):
+                self.play(f"""
+                    v1 send SETUP s1 kind=exam
+                    e0 expect OPENED
+                    e0 expect SETUP s1
+                    {how}
+                    v1 expect 500 s1 cseq=1
+                """)
+
+    def test_full_is_refused_not_failed(self) -> None:
+        self.play("""
+            v1 send SETUP s1 kind=exam left=1500
+            e0 expect OPENED
+            e0 expect SETUP s1
+            e0 send RELEASE s1 cause=34 report=x0:1.2
+            v1 expect 453 s1
+        """)
+
+    def test_no_answer_fails_in_time(self) -> None:
+        self.play("""
+            v1 send SETUP s1 kind=exam left=700
+            e0 expect OPENED
+            e0 expect SETUP s1
+            v1 expect 500 s1
+            e0 expect RELEASE s1 cause=16
+        """)
+
+    def test_a_title_nobody_holds_is_refused(self) -> None:
+        self.play("""
+            v1 send SETUP s1 home=3 left=800
+            v1 expect 453 s1 cseq=1 gap=1000
+        """)
+
+    def test_a_set_up_sent_again_after_a_close_is_one_request(self) -> None:
+        self.play("""
+            v1 send SETUP s1 kind=exam
+            e0 expect OPENED
+            e0 expect SETUP s1
+            v2 send OPTIONS
+            v2 expect 200
+            b send STOP
+            v2 send SETUP s1 kind=exam
+            v1 close reset
+            b send CONT
+            e0 expect NOTHING
+            e0 send ANSWER s1 body=x
+            v2 expect 200 s1 body=x
+        """)
+
+    def test_a_copy_sent_by_a_stranger_takes_no_answer_from_whom_it_is_due(self) -> None:
+        """It floods, and leaves; and whoever asked first hears the one answer."""
+        copy = (
+            b"SETUP rtsp://media/aa00 RTSP/1.0\r\nCSeq: 1\r\nSession: 0000000000000001\r\nP-Kind: exam\r\n"
+            b"P-Time-Left: 9000\r\nX-Length: 20000.0\r\nP-Path: home:0;copies:1;top:2;viewer:00000000000000aa\r\n"
+            b"Content-Length: 4\r\n\r\nmine"
+        )
+        for then in (
+            "v2 send OPTIONS\nv2 expect 200",
+            "v2 close",
+            "v2 close reset",
+            f"v2 send RAW {copy * 300!r}\nv2 expect 400 reason=~twice\nv2 expect CLOSED",
+        ):
+            with self.subTest(then[:20]):
+                self.play(f"""
+                    v1 send RAW {copy!r}
+                    e0 expect OPENED
+                    e0 expect SETUP s1 body=mine
+                    v2 send RAW {copy!r}
+                    v2 send OPTIONS
+                    v2 expect 200
+                    {then}
+                    e0 expect NOTHING
+                    e0 send ANSWER s1 body=x
+                    v1 expect 200 s1 body=x
+                    e0 send RELEASE s1 cause=16
+                    v1 expect TEARDOWN s1 why=cause=16
+                """)
+
+    def test_a_stranger_does_not_get_the_answer_to_an_open_id(self) -> None:
+        self.play("""
+            v1 send SETUP s1 kind=exam body=mine
+            e0 expect OPENED
+            e0 expect SETUP s1
+            v2 send SETUP s1 kind=exam body=other
+            v2 expect 500 s1 reason=~use
+            e0 send ANSWER s1 body=x
+            v1 expect 200 s1 body=x
+            v2 expect NOTHING
+        """)
+
+    def test_two_requests_under_one_number_cost_their_sender_the_connection(self) -> None:
+        self.play("""
+            v1 send SETUP s1 kind=exam
+            e0 expect OPENED
+            e0 expect SETUP s1
+            v1 send SETUP s1 kind=exam
+            v1 expect 400 reason=~twice
+            v1 expect CLOSED
+            e0 expect RELEASE s1 cause=16
+        """)
+
+
+class Reloading(Scenario):
+    def test_sighup_moves_to_the_new_coordinator_and_keeps_all_else(self) -> None:
+        self.play(
+            PLAYING
+            + """
+            c close quiet
+            c expect ASKED follow=1
+            b send HUP coordinator=c2
+            c2 send e0 state=draining
+            b wait 0.6
+            v1 send SETUP s2 left=700
+            v1 expect 453 s2
+            e0 send RELEASE s1 cause=16
+            v1 expect TEARDOWN s1 why=cause=16
+        """
+        )
+
+    def test_a_bad_file_is_logged_and_the_old_one_kept(self) -> None:
+        self.play(
+            PLAYING
+            + """
+            b send HUP text={"coordinator":
+            c send e0 state=draining
+            b wait 0.6
+            v1 send SETUP s2 left=700
+            v1 expect 453 s2
+            e0 send RELEASE s1 cause=16
+            v1 expect TEARDOWN s1 why=cause=16
+        """
+        )
+
+
+class Stopping(Scenario):
+    def test_sigterm_answers_what_is_owed_and_exits(self) -> None:
+        self.play("""
+            v1 send SETUP s1 kind=exam left=3000
+            e0 expect OPENED
+            e0 expect SETUP s1
+            b send TERM
+            v2 send SETUP s2 kind=exam left=3000
+            e0 expect SETUP s2
+            b expect NOTHING
+            e0 send ANSWER s1 body=one
+            v1 expect 200 s1 body=one
+            e0 send ANSWER s2 body=two
+            v2 expect 200 s2 body=two
+            b expect EXIT code=0
+        """)
+
+    def test_sessions_that_stand_are_released_on_both_sides_at_the_end(self) -> None:
+        self.play(
+            PLAYING
+            + """
+            b send TERM
+            v1 expect TEARDOWN s1 why=cause=41
+            v1 expect CLOSED
+            e0 expect RELEASE s1 cause=31
+            b expect EXIT code=0
+        """
+        )
+
+    def test_what_stands_plays_on_for_as_long_as_a_planned_end_leaves(self) -> None:
+        self.play(
+            PLAYING
+            + """
+            b send TERM
+            b wait 1.5
+            e0 expect NOTHING
+            v1 expect NOTHING
+            e0 send RELEASE s1 cause=16
+            v1 expect TEARDOWN s1 why=cause=16
+            b expect EXIT code=0
+        """
+        )
+
+    def test_sigterm_with_nothing_owed(self) -> None:
+        self.play("""
+            b send TERM
+            b expect EXIT code=0
+        """)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -9,7 +9,7 @@
 
 from scenario import PLAYING, Broker, Scenario, World
 from test_deploy import DEPLOY, here
-from test_scenarios import Bounds
+from test_scenario_input import Bounds
 
 RUN = here(DEPLOY["run"])
 SETUP = Bounds.SET_UP % 1
--- /dev/null
+++ b/tests/test_viewer_eviction.py
@@ -0,0 +1,115 @@
+"""Which viewer connections make room for newcomers."""
+
+from __future__ import annotations
+
+import unittest
+from dataclasses import asdict
+from typing import Any
+from unittest.mock import Mock
+
+from helpers import request
+from twisted.internet import error
+from twisted.internet.task import Clock
+from twisted.internet.testing import StringTransport
+from twisted.python.failure import Failure
+
+from lotuspick.core.events import (
+    SessionPlaying,
+)
+from lotuspick.routing.dispatcher import SessionDispatcher
+from lotuspick.routing.messages import (
+    SessionRequested,
+    ViewerConnectionOpened,
+)
+from lotuspick.transport.rtsp.rtsp_connection import RtspConnection
+from lotuspick.transport.rtsp.rtsp_server import RtspServer
+
+
+class Crowds(unittest.TestCase):
+    """Which viewer connections make room."""
+
+    def test_a_crowd_that_says_nothing_is_closed_many_at_once_and_shared_connections_one_by_one(self) -> None:
+        now = [0]
+        made = SessionDispatcher(
+            Mock(handle=Mock(return_value=[])),
+            Mock(),
+            lambda: now[0],
+            lambda at: None,
+            1_000,
+            frozenset({"clip"}),
+        )
+        shared = [Mock(is_open=True, last_message_us=1 + number) for number in range(3)]
+        crowd = [Mock(is_open=True, last_message_us=0) for _ in range(40)]
+        for viewer in shared:
+            made.post(ViewerConnectionOpened(viewer))
+            for number in range(4):
+                made.post(
+                    SessionRequested(
+                        SessionPlaying(**asdict(request(f"{id(viewer)}-{number}")), server="s0"),
+                        viewer=viewer,
+                    )
+                )
+        made.tick()
+        self.assertEqual(made.eviction_candidates(8), [], "their next request may be on its way")
+        now[0] = 1_000_000
+        self.assertEqual(made.eviction_candidates(8), shared[:1])
+        self.assertEqual(made.eviction_candidates(8), [], "one a second")
+        for viewer in crowd:
+            made.post(ViewerConnectionOpened(viewer))
+        made.tick()
+        self.assertEqual(made.eviction_candidates(8), crowd[:8])
+        made.post(
+            SessionRequested(request("new"), viewer=crowd[0])
+        )  # it has asked, though nobody has looked yet
+        self.assertEqual(made.eviction_candidates(8), crowd[1:9])
+        for number, viewer in enumerate(crowd):
+            viewer.last_message_us = now[0] - number  # OPTIONS, and nothing more
+        self.assertEqual(
+            made.eviction_candidates(8),
+            [],
+            "nor are those closed that have just said something, whatever it was",
+        )
+        now[0] += 1_000_000
+        self.assertEqual(
+            made.eviction_candidates(8), crowd[:-9:-1], "who said nothing for longest goes first"
+        )
+
+    def test_those_that_are_being_closed_are_room_for_all_newcomers_of_one_look(self) -> None:
+        class Pipe(StringTransport):
+            shut = False
+
+            def setTcpNoDelay(self, on: bool) -> None:
+                pass
+
+            def fileno(self) -> int:
+                return -1
+
+            def getHandle(self) -> Any:
+                return Mock(shutdown=lambda how: setattr(self, "shut", True))
+
+            def abortConnection(self) -> None:
+                """The reactor tells of the end in its next look."""
+
+        def come() -> RtspConnection:
+            viewer = made.buildProtocol(None)
+            viewer.makeConnection(Pipe())
+            return viewer
+
+        made = RtspServer(
+            Clock(),
+            lambda item: None,
+            lambda: True,
+            Mock(),
+            64,
+            lambda most: [each for each in made.connections if each.is_open][:most],
+        )
+        before = [come() for _ in range(64)]
+        after = [come() for _ in range(3)]
+        closed = [each for each in before if not each.is_open]
+        self.assertEqual(len(closed), 3, "three for the first, and none for those after it")
+        self.assertTrue(all(each.transport.shut for each in closed), "their viewers hear of it at once")
+        for each in closed:
+            each.connectionLost(Failure(error.ConnectionAborted()))
+        self.assertEqual(
+            (len(made.connections), made.closing, [each.is_open for each in after]), (64, set(), [True] * 3)
+        )
