--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -22,6 +22,7 @@
 
 
 def settings(**changes: Any) -> Settings:
+    """Settings of a small site; ``changes`` replace fields."""
     values: dict[str, Any] = {
         "zone": "a",
         "brokers": 1,
@@ -48,15 +49,18 @@
 
 
 def entry(position: int, **changes: Any) -> ServerEntry:
+    """Server ``s<position>`` in the endpoint list; ``changes`` replace fields."""
     values: dict[str, Any] = {"server": f"s{position}", "zone": "a", "kind": "box", "position": position}
     return ServerEntry(**{**values, **changes})
 
 
 def servers(count: int = 4) -> ServerListUpdate:
+    """A complete endpoint list."""
     return ServerListUpdate([entry(position) for position in range(count)], complete=True)
 
 
 def request(session: str, now: int = 0, **changes: Any) -> SessionRequest:
+    """A request of class ``clip`` that any server may play; ``changes`` replace fields."""
     values: dict[str, Any] = {
         "session": session,
         "session_class": "clip",
@@ -71,26 +75,33 @@
 
 
 def controller(count: int = 4, loads: float | None = 0.0, **changes: Any) -> Controller:
-    """A controller that knows its servers and has heard how full their links are."""
+    """A controller that knows its servers.
+
+    Args:
+        count: of servers.
+        loads: load of each link that it has been notified of; None: of none.
+        changes: replace fields of the settings.
+    """
     made = Controller(settings(**changes), 7)
     made.handle(0, [servers(count)])
     if loads is not None:
         made.handle(
-            20 * SECOND,
+            NOW,
             [SessionNotification("none", f"s{position}", "link", loads) for position in range(count)],
         )
     return made
 
 
 def of(actions: list[Any], kind: type) -> list[Any]:
+    """The actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
 
 
 def place(made: Controller, now: int, session: str, **changes: Any) -> tuple[str, int] | None:
-    """Send one request in; the server and rung that it got at once, if any."""
+    """Hand in one request; the server and rung that it got at once, if any."""
     actions = made.handle(now, [request(session, now, **changes)])
-    sends = of(actions, ForwardAttempt)
-    return (sends[0].server, of(actions, SetRung)[0].rung) if sends else None
+    forwarded = of(actions, ForwardAttempt)
+    return (forwarded[0].server, of(actions, SetRung)[0].rung) if forwarded else None
 
 
 __all__ = [
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,34 +1,41 @@
 """A small language for conversations with the running program.
 
-A scenario is a text of lines ``ACTOR VERB WORDS``. The verbs are ``send``, ``expect``, ``close`` and ``wait``
-(seconds). The first letter of an actor tells what it plays: ``v1`` a viewer's connection, ``p1`` an HTTP player,
-``e0`` the edge server that holds the titles of cell 0, ``n0`` the same as an HTTP media node, ``c`` the
-coordinator, ``b`` the broker itself. Words are a kind, a session (``s1``) and ``name=value`` fields; an
-expectation names the fields that matter (``name=~part``: this is in it; ``name=+``: a number above 0). What is
-expected must be the next thing that the actor hears; ``expect NOTHING`` looks for a moment that it hears none.
-``send RAW`` takes a Python bytes literal. Connections ``close`` in order, or with ``reset``, as when a process dies; a
-viewer's ``half`` ends what it sends alone. ``b send STOP`` holds the broker up and ``b send CONT`` lets it go on: what
-happens in between has all come before it looks at any of it.
+A scenario is a text of lines ``ACTOR VERB WORDS``. The verbs are ``send``, ``expect``, ``close`` and
+``wait`` (seconds). The first letter of an actor tells what it plays: ``v1`` a viewer's connection, ``p1``
+an HTTP player, ``e0`` the edge server that holds the titles of cell 0, ``n0`` the same as an HTTP media
+node, ``c`` the coordinator, ``b`` the broker itself. Words are a kind, a session (``s1``) and
+``name=value`` fields; an expectation names the fields that matter (``name=~part``: this is in it;
+``name=+``: a number above 0). What is expected must be the next message that the actor receives; ``expect
+NOTHING`` waits a moment for none. ``send RAW`` takes a Python bytes literal. Connections ``close`` in
+order, or with ``reset``, as when a process dies; a viewer's ``half`` ends what it sends alone. ``b send
+STOP`` holds the broker up and ``b send CONT`` lets it go on: what happens in between has all come before it
+looks at any of it.
 """
 
 from __future__ import annotations
 
+import ast
 import json
 import os
 import sys
 import tempfile
 import time
 import unittest
+from collections.abc import Mapping
 from pathlib import Path
 from typing import Any
 
-from scenario_actor import PATIENCE, number
+from scenario_actor import PATIENCE_S, Actor, session_number
 from scenario_broker import ROOT, Broker
-from scenario_edge_server import Edge
-from scenario_http import Coordinator, Node
+from scenario_edge_server import EdgeServer
+from scenario_http import Coordinator, HttpActor, MediaNode
 from scenario_viewers import Player, Viewer
 
-STATES = {
+from lotuspick.entitlement.model import Seat
+from lotuspick.entitlement.tokens import sign
+from lotuspick.transport.storage.key_folder import KeyFolder
+
+WIRE_STATE_BY_STATE = {
     "up": "in_service",
     "refused": "in_service",
     "silent": "in_service",
@@ -75,93 +82,108 @@
 
 
 class World:
-    """A running broker with all that it talks to."""
+    """A running broker with all that it talks to.
+
+    Args:
+        hints: it serves HTTP players too.
+        seed: of the broker.
+        family: replaces keys of the settings' ``FamilyInfo``.
+        limits: replaces limits of the process.
+        node: class of the media nodes.
+        cells: texts of files of cells by name; the broker starts with the first.
+        seats: text that is added to the file of seats; none is used without it.
+        command: starts the broker in place of the usual command.
+        rules: replaces keys of the settings' ``Limits``.
+        debug: it logs at level debug.
+        states: servers by their labels, and the state in which each starts; one that is up without any.
+    """
 
     def __init__(
         self,
         hints: bool = False,
         seed: int = 1,
-        family: dict[str, Any] | None = None,
-        limits: dict[str, int] | None = None,
-        node: type[Node] = Node,
-        cells: dict[str, str] | None = None,
+        family: Mapping[str, Any] | None = None,
+        limits: Mapping[str, int] | None = None,
+        node: type[HttpActor] = MediaNode,
+        cells: Mapping[str, str] | None = None,
         seats: str | None = None,
         command: list[str] | None = None,
-        rules: dict[str, Any] | None = None,
+        rules: Mapping[str, Any] | None = None,
         debug: bool = False,
         **states: str,
     ) -> None:
-        self.states = states or {"e0": "up"}
         self.actors: dict[str, Any] = {"c": Coordinator(self, "c")}
-        for label, state in self.states.items():
-            self.actors[label] = node(self, label) if label[0] == "n" else Edge(self, label, state)
-        self.actors["c"].update(
-            True, [self.entry(label, state, label) for label, state in self.states.items()]
-        )
+        self._start_servers(states or {"e0": "up"}, node)
         self.folder = tempfile.TemporaryDirectory()
-        settings = {
-            **SETTINGS,
-            "FamilyInfo": {**SETTINGS["FamilyInfo"], **(family or {})},
-            "Limits": {**SETTINGS["Limits"], **(rules or {})},
-        }
-        config = self.config = Path(self.folder.name, "config.json")
-        self.told = {
-            "name": "n0",
-            "listen": "127.0.0.1:0",
-            "seed": f"{seed:x}",
-            "settings": settings,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, **(limits or {})},
-            "coordinator": self.actors["c"].address,
-            "known": {"index": 1, "updates": self.actors["c"].events[:1]},
-        }
-        config.write_text(json.dumps(self.told))
-        command = [*(command or [sys.executable, "-m", "lotuspick", "serve"])]
-        if debug:
-            command += ["--log-level", "debug"]
-        if hints:
-            nodes = [
-                f'"s-{label}" = "{actor.address}"' for label, actor in self.actors.items() if label[0] == "n"
-            ]
-            front = Path(self.folder.name, "hints.toml")
-            front.write_text("\n".join(["enabled = true", 'listen = "127.0.0.1:0"', "[nodes]", *nodes]))
-            command += ["--hints", str(front)]
-        self.cells = cells or {}  # files of cells by name: the broker starts with the first
-        if self.cells:
-            self.write_cells(next(iter(self.cells)))
-            command += ["--cells", str(Path(self.folder.name, "cells.toml"))]
-        if seats is not None:
-            command += ["--seats", str(self.make_seats(seats))]
-        environment = {key: value for key, value in os.environ.items() if not key.startswith("PROXY_")}
-        self.command, self.environment = command, {**environment, "PROXY_CONFIG": str(config)}
-        self.with_hints = hints
+        self.config = self._path("config.json")
+        self.configuration = self._make_configuration(seed, family or {}, limits or {}, rules or {})
+        self.config.write_text(json.dumps(self.configuration))
+        self.serves_http = hints
+        self.cells = cells or {}
+        self.command = [*(command or [sys.executable, "-m", "lotuspick", "serve"])]
+        self.command += ["--log-level", "debug"] if debug else []
+        self.command += ["--hints", str(self._write_hints())] if hints else []
+        self.command += ["--cells", str(self.write_cells(next(iter(self.cells))))] if self.cells else []
+        self.command += ["--seats", str(self._write_seats(seats))] if seats is not None else []
+        inherited = {key: value for key, value in os.environ.items() if not key.startswith("PROXY_")}
+        self.environment = {**inherited, "PROXY_CONFIG": str(self.config)}
         self.start()
 
     def start(self) -> None:
         """Start the broker, the first time or again."""
         self.broker = self.actors["b"] = Broker(self, self.command, self.environment)
-        self.hints = ("127.0.0.1", self.broker.port() if self.with_hints else 0)
-        self.listen = ("127.0.0.1", self.broker.port())
+        self.http_address = ("127.0.0.1", self.broker.wait_for_port() if self.serves_http else 0)
+        self.rtsp_address = ("127.0.0.1", self.broker.wait_for_port())
 
-    def make_seats(self, text: str) -> Path:
-        """The file of seats and a key to sign with; ``text`` is added to the file."""
-        from lotuspick.transport.storage.key_folder import KeyFolder
+    def play(self, script: str) -> None:
+        """Carry out the lines of a scenario.
 
-        self.keys = KeyFolder(Path(self.folder.name, "keys"))
-        self.keys.make(int(time.time()), 600)
-        path = Path(self.folder.name, "seats.toml")
-        path.write_text(f'enabled = true\naudience = "site"\nkeys = "keys"\nstore = "store"\n{text}\n')
-        return path
+        Raises:
+            AssertionError: an expectation fails; its line and the last lines of the log are named.
+        """
+        for line in script.strip().splitlines():
+            words = line.split(maxsplit=2)
+            if not words or words[0].startswith("#"):
+                continue
+            try:
+                self._carry_out(words[0], words[1], words[2] if len(words) > 2 else "")
+            except AssertionError as error:
+                raise AssertionError(f"{line.strip()}: {error}\n{''.join(self.broker.log[-20:])}") from None
+
+    def actor(self, label: str) -> Any:
+        """The actor of a label. Viewers, players and further coordinators are made when first named."""
+        if label not in self.actors:
+            self.actors[label] = {"v": Viewer, "p": Player, "c": Coordinator}[label[0]](self, label)
+            if label[0] == "c":  # numbers continue
+                self.actors[label].events = list(self.actors["c"].events)
+        return self.actors[label]
+
+    def endpoint(self, label: str, state: str, address: str) -> dict[str, Any]:
+        """An entry of the endpoint list, in the coordinator's form.
+
+        Args:
+            label: names the server.
+            state: one of the scripts' words, or what goes out as it is.
+            address: label of the server at whose address it is listed.
+        """
+        return {
+            "id": f"s-{label}",
+            "addr": self.actors[address].address,
+            "zone": "a",
+            "kind": "box",
+            "cell": int(label[1:]) % 4,
+            "state": WIRE_STATE_BY_STATE.get(state, state),
+            "weight": 1,
+            "started_ms": 0,
+        }
 
     def token(self, fields: dict[str, str]) -> str:
         """``token=SEAT.EPOCH`` for the viewer and class that the fields name, good for ``good`` seconds."""
-        from lotuspick.entitlement.model import Seat
-        from lotuspick.entitlement.tokens import sign
-
         seat, _, epoch = fields["token"].partition(".")
         if seat == "bad":
             return "a.b.c"
         now = int(time.time())
-        made = Seat(
+        entitlement = Seat(
             seat,
             f"{int(fields.get('viewer', 'aa'), 16):016x}",
             fields.get("tenant", "law"),
@@ -172,76 +194,87 @@
             now + int(fields.get("good", "600")),
             int(epoch or 0),
         )
-        kid = next(key.kid for key in self.keys.load().values() if not key.withdrawn)
-        return sign(made, "site", kid, self.keys.private(kid))
-
-    def write_cells(self, name: str) -> None:
-        Path(self.folder.name, "cells.toml").write_text("enabled = true\n" + self.cells[name])
-
-    def entry(self, label: str, state: str, address: str) -> dict[str, Any]:
-        return {
-            "id": f"s-{label}",
-            "addr": self.actors[address].address,
-            "zone": "a",
-            "kind": "box",
-            "cell": int(label[1:]) % 4,
-            "state": STATES.get(state, state),
-            "weight": 1,
-            "started_ms": 0,
-        }
+        key_id = next(key.kid for key in self.keys.load().values() if not key.withdrawn)
+        return sign(entitlement, "site", key_id, self.keys.private(key_id))
 
-    def actor(self, label: str) -> Any:
-        if label not in self.actors:
-            self.actors[label] = {"v": Viewer, "p": Player, "c": Coordinator}[label[0]](self, label)
-            if label[0] == "c":  # numbers continue
-                self.actors[label].events = list(self.actors["c"].events)
-        return self.actors[label]
+    def write_cells(self, name: str) -> Path:
+        """Replace the file of cells by the text of this name."""
+        path = self._path("cells.toml")
+        path.write_text("enabled = true\n" + self.cells[name])
+        return path
 
-    def play(self, script: str) -> None:
-        """Carry out the lines of a scenario; a failure names its line."""
-        for line in script.strip().splitlines():
-            words = line.split(maxsplit=2)
-            if not words or words[0].startswith("#"):
-                continue
-            try:
-                self.step(words[0], words[1], words[2] if len(words) > 2 else "")
-            except AssertionError as error:
-                raise AssertionError(f"{line.strip()}: {error}\n{''.join(self.broker.log[-20:])}") from None
+    def end(self) -> None:
+        """Stop the broker, by force if need be, and all else that runs."""
+        self.broker.end()
+        for actor in self.actors.values():
+            actor.end()
+        self.folder.cleanup()
 
-    def step(self, label: str, verb: str, rest: str) -> None:
+    def _carry_out(self, label: str, verb: str, rest: str) -> None:
         if verb == "wait":
             time.sleep(float(rest))
             return
         actor = self.actor(label)
         if verb == "close":
-            actor.close(rest) if rest else actor.close()
+            actor.close(rest)
             return
         kind, _, rest = rest.partition(" ")
         if kind == "RAW":
-            actor.send(kind, "", {"raw": eval(rest).decode("latin-1")})
+            actor.send(kind, "", {"raw": ast.literal_eval(rest).decode("latin-1")})
             return
         words = rest.split()
         session = words.pop(0) if words and "=" not in words[0] else ""
         fields = dict(word.split("=", 1) for word in words)
         {"send": actor.send, "expect": actor.expect}[verb](kind, session, fields)
 
-    def end(self) -> None:
-        """Stop the broker, by force if need be, and all stand-ins."""
-        self.broker.process.kill()
-        self.broker.process.wait()
-        for label, actor in self.actors.items():
-            if label[0] in "cn":
-                actor.server.shutdown()
-                actor.server.server_close()
-            elif label[0] == "e":
-                actor.listener.close()
-                for each in actor.fillers + actor.connections:
-                    each.close()
-        self.folder.cleanup()
+    def _path(self, name: str) -> Path:
+        return Path(self.folder.name, name)
+
+    def _start_servers(self, states: Mapping[str, str], node: type[HttpActor]) -> None:
+        for label, state in states.items():
+            self.actors[label] = node(self, label) if label[0] == "n" else EdgeServer(self, label, state)
+        servers = [self.endpoint(label, state, label) for label, state in states.items()]
+        self.actors["c"].update(True, servers)
+
+    def _make_configuration(
+        self, seed: int, family: Mapping[str, Any], limits: Mapping[str, int], rules: Mapping[str, Any]
+    ) -> dict[str, Any]:
+        return {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "seed": f"{seed:x}",
+            "settings": {
+                **SETTINGS,
+                "FamilyInfo": {**SETTINGS["FamilyInfo"], **family},
+                "Limits": {**SETTINGS["Limits"], **rules},
+            },
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, **limits},
+            "coordinator": self.actors["c"].address,
+            "known": {"index": 1, "updates": self.actors["c"].events[:1]},
+        }
+
+    def _write_hints(self) -> Path:
+        nodes = [
+            f'"s-{label}" = "{actor.address}"' for label, actor in self.actors.items() if label[0] == "n"
+        ]
+        path = self._path("hints.toml")
+        path.write_text("\n".join(["enabled = true", 'listen = "127.0.0.1:0"', "[nodes]", *nodes]))
+        return path
+
+    def _write_seats(self, text: str) -> Path:
+        """The file of seats, and a key to sign with."""
+        self.keys = KeyFolder(self._path("keys"))
+        self.keys.make(int(time.time()), 600)
+        path = self._path("seats.toml")
+        path.write_text(f'enabled = true\naudience = "site"\nkeys = "keys"\nstore = "store"\n{text}\n')
+        return path
 
 
 class Scenario(unittest.TestCase):
+    """Tests that play scripts."""
+
     def play(self, script: str, **world: Any) -> None:
+        """Carry out a script on a broker of its own, which must not log a traceback."""
         made = World(**world)
         self.addCleanup(made.end)
         made.play(script)
@@ -249,17 +282,18 @@
 
 
 __all__ = [
-    "PATIENCE",
+    "PATIENCE_S",
     "PLAYING",
     "ROOT",
     "SETTINGS",
+    "Actor",
     "Broker",
     "Coordinator",
-    "Edge",
-    "Node",
+    "EdgeServer",
+    "MediaNode",
     "Player",
     "Scenario",
     "Viewer",
     "World",
-    "number",
+    "session_number",
 ]
--- a/tests/scenario_broker.py
+++ b/tests/scenario_broker.py
@@ -11,56 +11,67 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from scenario_actor import PATIENCE, Actor
+from scenario_actor import PATIENCE_S, Actor
 
 if TYPE_CHECKING:
     from scenario import World
 
 ROOT = Path(__file__).parent.parent
+LISTENING = re.compile(r"msg=(serving|http_serving) .*listen=127\.0\.0\.1:(\d+)")
 
 
 class Broker(Actor):
-    """The program itself: ``b send TERM``, ``b expect EXIT code=0``; ``b send HUP coordinator=c2`` or ``text=``
-    first replaces the configuration file, and ``cells=NAME`` the file of cells; ``b send START`` starts it again. ``b expect LINE key=value`` waits for
-    a log line with that pair in it."""
+    """The program itself: ``b send TERM``, ``b expect EXIT code=0``.
+
+    ``b send HUP coordinator=c2`` or ``text=`` first replaces the configuration file, and ``cells=NAME`` the
+    file of cells; ``b send START`` starts it again. ``b expect LINE key=value`` waits for a log line with
+    that pair in it.
+    """
 
     def __init__(self, world: World, command: list[str], environment: dict[str, str]) -> None:
         super().__init__(world, "b")
         self.log: list[str] = []
         self.lines: queue.Queue[str] = queue.Queue()
         self.process = subprocess.Popen(command, cwd=ROOT, env=environment, stderr=subprocess.PIPE, text=True)
-        self.thread(self.read)
+        self.start_thread(self.read_log)
 
-    def read(self) -> None:
+    def read_log(self) -> None:
+        """Keep the lines of the log until the process ends; runs on a thread."""
         assert self.process.stderr is not None
         for line in self.process.stderr:
             self.log.append(line)
             self.lines.put(line)
-            said = re.search(r"msg=(serving|http_serving) .*listen=127\.0\.0\.1:(\d+)", line)
-            if said:
-                self.heard.put((said[1], "", {"port": said[2]}))
-        self.heard.put(("EXIT", "", {"code": str(self.process.wait())}))
+            listening = LISTENING.search(line)
+            if listening:
+                self.receive(listening[1], "", {"port": listening[2]})
+        self.receive("EXIT", "", {"code": str(self.process.wait())})
 
-    def port(self) -> int:
-        kind, _, fields = self.heard.get(timeout=PATIENCE)
-        assert kind != "EXIT", "".join(self.log)
-        return int(fields["port"])
+    def wait_for_port(self) -> int:
+        """The next port on which it says that it listens."""
+        message = self.received.get(timeout=PATIENCE_S)
+        assert message.kind != "EXIT", "".join(self.log)
+        return int(message.fields["port"])
 
     def expect(self, kind: str, session: str, fields: dict[str, str]) -> None:
+        """Wait for the next message, or with ``LINE`` for a line of the log."""
         if kind != "LINE":
-            return super().expect(kind, session, fields)
-        wanted, end = [f"{key}={value}" for key, value in fields.items()], time.monotonic() + PATIENCE
+            super().expect(kind, session, fields)
+            return
+        expected = [f"{key}={value}" for key, value in fields.items()]
+        end_s = time.monotonic() + PATIENCE_S
         try:
             line = ""
-            while not all(pair in line for pair in wanted):
-                line = self.lines.get(timeout=max(0.0, end - time.monotonic()))
+            while not all(pair in line for pair in expected):
+                line = self.lines.get(timeout=max(0.0, end_s - time.monotonic()))
         except queue.Empty:
-            raise AssertionError(f"no line with {wanted}") from None
+            raise AssertionError(f"no line with {expected}") from None
 
     def send(self, kind: str, session: str, fields: dict[str, str]) -> None:
+        """Replace files as the fields say, then send a signal or start the program again."""
         if "coordinator" in fields:
-            told = {**self.world.told, "coordinator": self.world.actor(fields["coordinator"]).address}
-            self.world.config.write_text(json.dumps(told))
+            coordinator = self.world.actor(fields["coordinator"]).address
+            changed = {**self.world.configuration, "coordinator": coordinator}
+            self.world.config.write_text(json.dumps(changed))
         if "cells" in fields:
             self.world.write_cells(fields["cells"])
         if "text" in fields:
@@ -69,3 +80,8 @@
             self.world.start()
             return
         self.process.send_signal(getattr(signal, f"SIG{kind}"))
+
+    def end(self) -> None:
+        """Stop the process, by force if need be."""
+        self.process.kill()
+        self.process.wait()
--- a/tests/scenario_edge_server.py
+++ b/tests/scenario_edge_server.py
@@ -7,15 +7,16 @@
 import struct
 import threading
 import time
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, BinaryIO
 
-from scenario_actor import PATIENCE, Actor, name, number, reset
+from scenario_actor import PATIENCE_S, Actor, reset_connection, session_name, session_number
 
 if TYPE_CHECKING:
     from scenario import World
 
-KINDS = {"SETUP": 1, "ANSWER": 9, "RELEASE": 12, "HEARD": 16, "NOTE": 44, "RUNG": 60}
-CODES = {
+CODE_BY_KIND = {"SETUP": 1, "ANSWER": 9, "RELEASE": 12, "HEARD": 16, "NOTE": 44, "RUNG": 60}
+KIND_BY_CODE = {code: kind for kind, code in CODE_BY_KIND.items()}
+CODE_BY_PARAMETER = {
     "class": 100,
     "wait": 102,
     "title": 108,
@@ -26,127 +27,161 @@
     "cause": 128,
     "body": 130,
 }
-
-
-class Edge(Actor):
+PARAMETER_BY_CODE = {code: parameter for parameter, code in CODE_BY_PARAMETER.items()}
+SESSION_BYTES = slice(1, 9)
+HEAD_BYTES = 9
+PARAMETER_HEAD_BYTES = 3
+BACKLOG = 16
+FILLERS = 4
+
+
+def decode_parameters(frame: bytes) -> dict[str, str]:
+    """The parameters of a frame, by the names that scripts use."""
+    parameters = {}
+    position = HEAD_BYTES
+    while position < len(frame):
+        parameter = PARAMETER_BY_CODE[frame[position]]
+        start = position + PARAMETER_HEAD_BYTES
+        length = struct.unpack(">H", frame[position + 1 : start])[0]
+        value = frame[start : start + length]
+        parameters[parameter] = str(value[0]) if parameter == "cause" else value.decode()
+        position = start + length
+    return parameters
+
+
+def encode_frame(kind: str, session: str, parameters: dict[str, str]) -> bytes:
+    """A frame without the length before it."""
+    frame = bytes((CODE_BY_KIND[kind],)) + bytes.fromhex(session_number(session))
+    for parameter, text in parameters.items():
+        value = bytes((int(text),)) if parameter == "cause" else text.encode()
+        frame += struct.pack(">BH", CODE_BY_PARAMETER[parameter], len(value)) + value
+    return frame
+
+
+class EdgeServer(Actor):
     """One edge server: a listener, or a port that refuses, or one on which nothing ever comes up."""
 
     def __init__(self, world: World, label: str, state: str) -> None:
         super().__init__(world, label)
-        self.listener = socket.socket()
-        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.listener.bind(("127.0.0.1", 0))
+        self.listener = self._bind(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        self.filled: set[Any] = set()
-        self.opened: queue.Queue[None] = queue.Queue()  # apart: connections race with what is said on others
+        self.filler_addresses: set[tuple[str, int]] = set()
+        self.fillers: list[socket.socket] = []
+        self.opened: queue.Queue[None] = queue.Queue()  # apart: connections race with messages on others
         self.connections: list[socket.socket] = []
         self.readers: dict[socket.socket, threading.Thread] = {}
-        self.fillers: list[socket.socket] = []
-        self.opened_ms = 0  # when it began to take connections, once it had not
+        self.opened_ms = 0  # when it began to take connections, where it did not at first
         if state == "refused":
             self.listener.close()
         elif state == "silent":
-            self.fall_silent()
+            self._fill_backlog()
         else:
-            self.listener.listen(16)
-            self.thread(self.accept)
+            self.listener.listen(BACKLOG)
+            self.start_thread(self._accept)
 
-    def fall_silent(self) -> None:
+    @staticmethod
+    def _bind(address: tuple[str, int]) -> socket.socket:
+        listener = socket.socket()
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind(address)
+        return listener
+
+    def _fill_backlog(self) -> None:
         """With its queue full the kernel lets no further connection come up."""
         self.listener.listen(0)
-        for _ in range(4):
-            self.fillers.append(socket.socket())
-            self.fillers[-1].setblocking(False)
-            self.fillers[-1].connect_ex(self.listener.getsockname())
-        self.filled = {filler.getsockname() for filler in self.fillers}
-
-    def take(self) -> None:
+        for _ in range(FILLERS):
+            filler = socket.socket()
+            filler.setblocking(False)
+            filler.connect_ex(self.listener.getsockname())
+            self.fillers.append(filler)
+        self.filler_addresses = {filler.getsockname() for filler in self.fillers}
+
+    def _open(self) -> None:
         """Take connections again. One that is being dialled comes up when the kernel tries the next time."""
         self.opened_ms = int(time.time() * 1_000)
         for filler in self.fillers:
             filler.close()
-        self.listener.listen(16)
-        self.thread(self.accept)
-
-    def lost(self, why: str) -> None:
-        """Not told: it would race with the next connection, which tells enough."""
+        self.listener.listen(BACKLOG)
+        self.start_thread(self._accept)
 
-    def accept(self) -> None:
+    def _accept(self) -> None:
         while True:
             connection, address = self.listener.accept()
-            if address in self.filled:
+            if address in self.filler_addresses:
                 connection.close()
                 continue
-            self.readers[connection] = self.worker(self.read, connection)
+            self.readers[connection] = self.make_thread(self._read, connection)
             self.connections.append(connection)
             self.readers[connection].start()
             self.opened.put(None)
 
+    def _read(self, connection: socket.socket) -> None:
+        with connection.makefile("rb") as stream:
+            self._read_frames(stream)
+
+    def _read_frames(self, stream: BinaryIO) -> None:
+        while length := stream.read(2):
+            frame = stream.read(struct.unpack(">H", length)[0])
+            parameters = decode_parameters(frame)
+            kind = KIND_BY_CODE[frame[0]]
+            if kind != "HEARD":
+                self.receive(kind, session_name(frame[SESSION_BYTES].hex()), parameters)
+
+    def on_connection_lost(self, reason: str) -> None:
+        """Not received: it would race with the next connection, which says enough."""
+
     def expect(self, kind: str, session: str, fields: dict[str, str]) -> None:
+        """Wait for the next message, or with ``OPENED`` for a connection."""
         if kind != "OPENED":
             super().expect(kind, session, fields)
             return
         try:
-            self.opened.get(timeout=PATIENCE)
+            self.opened.get(timeout=PATIENCE_S)
         except queue.Empty:
             raise AssertionError(f"{self.label} got no connection") from None
 
-    def read(self, connection: socket.socket) -> None:
-        with connection.makefile("rb") as stream:
-            self.hear(stream)
-
-    def hear(self, stream: Any) -> None:
-        while head := stream.read(2):
-            frame = stream.read(struct.unpack(">H", head)[0])
-            fields, at = {}, 9
-            while at < len(frame):
-                length = struct.unpack(">H", frame[at + 1 : at + 3])[0]
-                value = frame[at + 3 : at + 3 + length]
-                key = next(key for key, code in CODES.items() if code == frame[at])
-                fields[key] = str(value[0]) if key == "cause" else value.decode()
-                at += 3 + length
-            kind = next(kind for kind, code in KINDS.items() if code == frame[0])
-            if kind != "HEARD":
-                self.heard.put((kind, name(frame[1:9].hex()), fields))
-
     def send(self, kind: str, session: str, fields: dict[str, str]) -> None:
+        """Send a frame on the last connection, with ``RAW`` these bytes; ``OPEN`` takes connections again."""
         if kind == "OPEN":
-            self.take()
+            self._open()
             return
         connection = self.connections[-1]
         if kind == "RAW":
             connection.sendall(fields["raw"].encode("latin-1"))
             return
-        frame = bytes((KINDS[kind],)) + bytes.fromhex(number(session))
-        for key, text in fields.items():
-            value = bytes((int(text),)) if key == "cause" else text.encode()
-            frame += struct.pack(">BH", CODES[key], len(value)) + value
+        frame = encode_frame(kind, session, fields)
         connection.sendall(struct.pack(">H", len(frame)) + frame)
 
     def close(self, how: str = "") -> None:
-        """In order, or with ``reset`` as when a process dies; ``all`` takes no new connection either. A machine
-        that goes ``silent`` keeps what is open and lets nothing new come up, until ``send OPEN``; with its ``door``
-        closed it keeps what is open and refuses all else."""
-        if how == "silent":
+        """Close all connections in order, or as ``how`` says.
+
+        Args:
+            how: ``reset``: as when a process dies. ``all``: it takes no new connection either. ``silent``:
+            what is
+                open stays, and nothing new comes up until ``send OPEN``. ``door``: what is open stays, and
+                all else is refused.
+        """
+        if how in ("silent", "door", "all"):
             address = self.listener.getsockname()
             self.listener.shutdown(socket.SHUT_RDWR)
             self.listener.close()
-            self.listener = socket.socket()
-            self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self.listener.bind(address)
-            self.fall_silent()
-            return
-        if how == "door":
-            self.listener.shutdown(socket.SHUT_RDWR)
-            self.listener.close()
-            return
-        if how == "all":
-            self.listener.shutdown(socket.SHUT_RDWR)
-            self.listener.close()
+        if how == "silent":
+            self.listener = self._bind(address)
+            self._fill_backlog()
+        if how not in ("silent", "door"):
+            self._close_connections(reset=how in ("reset", "all"))
+
+    def _close_connections(self, reset: bool) -> None:
         for connection in self.connections:
-            if how in ("reset", "all"):
-                reset(connection, self.readers.pop(connection))
+            if reset:
+                reset_connection(connection, self.readers.pop(connection))
                 continue
             connection.shutdown(socket.SHUT_RDWR)
             connection.close()
         self.connections = []
+
+    def end(self) -> None:
+        """Close whatever is open."""
+        self.listener.close()
+        for connection in self.fillers + self.connections:
+            connection.close()
--- a/tests/scenario_http.py
+++ b/tests/scenario_http.py
@@ -7,20 +7,48 @@
 import queue
 import threading
 import time
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
-from scenario_actor import PATIENCE, Actor, name, number
+from scenario_actor import PATIENCE_S, Actor, session_name, session_number
 
 if TYPE_CHECKING:
     from scenario import World
 
+POLL_INTERVAL_S = 0.05
+NO_ANSWER = 0
+"""Status in place of which the connection is closed."""
+
+
+class Answer(NamedTuple):
+    """An answer over HTTP; ``headers`` may replace the length of the body."""
+
+    status: int
+    headers: dict[str, str]
+    body: bytes
+
+
+class QuietServer(http.server.ThreadingHTTPServer):
+    """Brokers that are killed leave their requests."""
+
+    daemon_threads = True
+
+    def handle_error(self, *_: Any) -> None:
+        """Print nothing."""
+
 
 class HttpActor(Actor):
-    """A server of HTTP, its answers given by ``answer``."""
+    """A server of HTTP that answers by ``respond``, and keeps a list of events that clients poll for."""
 
     def __init__(self, world: World, label: str) -> None:
         super().__init__(world, label)
+        self.events: list[Any] = []
+        self.events_changed = threading.Condition()
+        self.server = QuietServer(("127.0.0.1", 0), self._handler_class())
+        self.address = f"127.0.0.1:{self.server.server_address[1]}"
+        threading.Thread(target=self.server.serve_forever, args=(POLL_INTERVAL_S,), daemon=True).start()
+
+    def _handler_class(self) -> type[http.server.BaseHTTPRequestHandler]:
         actor = self
 
         class Handler(http.server.BaseHTTPRequestHandler):
@@ -33,8 +61,8 @@
                 body = self.rfile.read(int(self.headers.get("content-length", 0)))
                 url = urlsplit(self.path)
                 query = {key: values[0] for key, values in parse_qs(url.query).items()}
-                status, headers, answer = actor.answer(self.command, url.path, query, body)
-                if not status:
+                status, headers, answer = actor.respond(self.command, url.path, query, body)
+                if status == NO_ANSWER:
                     self.close_connection = True
                     return
                 self.send_response(status)
@@ -43,84 +71,89 @@
                 self.end_headers()
                 self.wfile.write(answer)
 
-            do_GET = do_POST = do_PUT = do_DELETE = handle_any
+            do_GET = do_POST = do_PUT = do_DELETE = handle_any  # noqa: N815  # names that http.server calls
 
-        class Server(http.server.ThreadingHTTPServer):
-            def handle_error(self, *_: Any) -> None:
-                pass
+        return Handler
 
-        self.server = Server(("127.0.0.1", 0), Handler)
-        self.address = f"127.0.0.1:{self.server.server_address[1]}"
-        self.server.daemon_threads = True
-        threading.Thread(target=self.server.serve_forever, args=(0.05,), daemon=True).start()
-        self.events: list[Any] = []
-        self.news = threading.Condition()
-
-    def poll(self, after: int, wait_ms: int) -> tuple[list[Any], int]:
-        with self.news:
-            self.news.wait_for(lambda: len(self.events) > after, wait_ms / 1000)
+    def wait_for_events(self, after: int, wait_ms: int) -> tuple[list[Any], int]:
+        """The events after an index, as soon as there is one, and the last index."""
+        with self.events_changed:
+            self.events_changed.wait_for(lambda: len(self.events) > after, wait_ms / 1000)
             return self.events[after:], len(self.events)
 
-    def tell(self, event: Any) -> None:
-        with self.news:
+    def publish(self, event: Any) -> None:
+        """Add an event, for all who wait."""
+        with self.events_changed:
             self.events.append(event)
-            self.news.notify_all()
+            self.events_changed.notify_all()
 
-    def answer(self, method: str, path: str, query: dict[str, str], body: bytes) -> tuple[int, dict, bytes]:
+    def respond(self, method: str, path: str, query: dict[str, str], body: bytes) -> Answer:
+        """Answer a request, on the thread that serves it."""
         raise NotImplementedError
 
     def close(self, how: str = "") -> None:
+        """Serve no longer."""
+        self.end()
+
+    def end(self) -> None:
+        """Serve no longer, also where a script has closed it."""
         self.server.shutdown()
         self.server.server_close()
 
 
 class Coordinator(HttpActor):
-    """``c send e0 state=draining`` tells news, and ``c expect FOLLOWED follow=2`` waits until the broker has it; ``c close`` breaks off, ``c close quiet`` falls silent, ``c close 40``
-    stops after 40 bytes of its next news and stays open."""
+    """The coordinator: ``c send e0 state=draining`` publishes an update.
 
-    quiet = False
-    cut_short = 0  # so many bytes of a next answer go out, and then nothing more
+    ``c expect FOLLOWED follow=2`` waits until the broker has it; ``c close`` breaks off, ``c close quiet``
+    answers nothing more, ``c close 40`` stops after 40 bytes of its next update and stays open.
+    """
 
     def __init__(self, world: World, label: str) -> None:
-        self.follows: queue.Queue[str] = queue.Queue()  # apart: most scenarios don't care
+        self.followed: queue.Queue[str] = queue.Queue()  # apart: most scenarios don't care
+        self.quiet = False
+        self.cut_short = 0  # so many bytes of a next answer go out, and then nothing more
         super().__init__(world, label)
 
     def expect(self, kind: str, session: str, fields: dict[str, str]) -> None:
+        """Wait for the next message, or with ``FOLLOWED`` until somebody follows from an index."""
         if kind != "FOLLOWED":
             super().expect(kind, session, fields)
             return
         try:
-            while self.follows.get(timeout=PATIENCE) != fields["follow"]:
+            while self.followed.get(timeout=PATIENCE_S) != fields["follow"]:
                 pass
         except queue.Empty:
             raise AssertionError(f"nobody follows from {fields['follow']} on") from None
 
-    def answer(self, method: str, path: str, query: dict[str, str], body: bytes) -> tuple[int, dict, bytes]:
-        self.follows.put(query["follow"])
+    def respond(self, method: str, path: str, query: dict[str, str], body: bytes) -> Answer:
+        """Answer a poll for updates."""
+        self.followed.put(query["follow"])
         if self.quiet:
-            self.heard.put(("ASKED", "", query))
-            time.sleep(PATIENCE)
-            return 0, {}, b""
-        events, last = self.poll(int(query["follow"]), int(query["wait_ms"]))
-        body = json.dumps({"index": last, "updates": events}).encode()
+            self.receive("ASKED", "", query)
+            time.sleep(PATIENCE_S)
+            return Answer(NO_ANSWER, {}, b"")
+        events, last = self.wait_for_events(int(query["follow"]), int(query["wait_ms"]))
+        answer = json.dumps({"index": last, "updates": events}).encode()
         if self.cut_short and events:
             cut, self.cut_short = self.cut_short, 0
-            return 200, {"Content-Length": str(len(body))}, body[:cut]
-        return 200, {}, body
+            return Answer(200, {"Content-Length": str(len(answer))}, answer[:cut])
+        return Answer(200, {}, answer)
 
     def update(self, full: bool, servers: list[Any]) -> None:
-        self.tell(
-            {"index": len(self.events) + 1, "endpoints": {"version": 1, "full": full, "servers": servers}}
-        )
+        """Publish the whole endpoint list, or entries that changed."""
+        endpoints = {"version": 1, "full": full, "servers": servers}
+        self.publish({"index": len(self.events) + 1, "endpoints": endpoints})
 
     def send(self, kind: str, session: str, fields: dict[str, str]) -> None:
-        entry = self.world.entry(kind, fields["state"], fields.get("address", kind))
+        """Publish the entry of one server."""
+        entry = self.world.endpoint(kind, fields["state"], fields.get("address", kind))
         if "started" in fields:
             opened = fields["started"] == "open"  # when it last began to take connections; else now
             entry["started_ms"] = self.world.actors[kind].opened_ms if opened else int(time.time() * 1_000)
         self.update(False, [entry])
 
     def close(self, how: str = "") -> None:
+        """Break off, or as the class says."""
         if how == "quiet":
             self.quiet = True
         elif how.isdigit():
@@ -129,28 +162,31 @@
             super().close()
 
 
-class Node(HttpActor):
-    """An HTTP media node: ``n0 expect SETUP s1``, then ``n0 send 200 body=x etp=4000``; events go by themselves."""
+class MediaNode(HttpActor):
+    """An HTTP media node: ``n0 expect SETUP s1``, then ``n0 send 200 body=x etp=4000``."""
 
     def __init__(self, world: World, label: str) -> None:
-        self.answers: queue.Queue[tuple[int, dict, bytes]] = queue.Queue()
-        super().__init__(world, label)
+        self.answers: queue.Queue[Answer] = queue.Queue()
         self.cmsd: dict[str, str] = {}
+        super().__init__(world, label)
 
-    def answer(self, method: str, path: str, query: dict[str, str], body: bytes) -> tuple[int, dict, bytes]:
+    def respond(self, method: str, path: str, query: dict[str, str], body: bytes) -> Answer:
+        """Answer a poll for events, or a request for a session as the script says."""
         if path == "/events":
-            events, last = self.poll(int(query["after"]), int(query["wait_ms"]))
-            return 200, self.cmsd, json.dumps({"index": last, "events": events}).encode()
+            events, last = self.wait_for_events(int(query["after"]), int(query["wait_ms"]))
+            return Answer(200, self.cmsd, json.dumps({"index": last, "events": events}).encode())
         kind = {"POST": "SETUP", "PUT": "RUNG", "DELETE": "RELEASE"}[method]
-        self.heard.put((kind, name(path.rpartition("/")[2]), {**query, "body": body.decode()}))
-        return self.answers.get(timeout=PATIENCE) if kind == "SETUP" else (204, {}, b"")
+        self.receive(kind, session_name(path.rpartition("/")[2]), {**query, "body": body.decode()})
+        return self.answers.get(timeout=PATIENCE_S) if kind == "SETUP" else Answer(204, {}, b"")
 
     def send(self, kind: str, session: str, fields: dict[str, str]) -> None:
+        """Publish an event (``OVER``, ``NOTE``), or give the answer to the next set-up by its status."""
         if "etp" in fields:
             self.cmsd = {"CMSD-Dynamic": f'"s-{self.label}";etp={fields["etp"]}'}
+        number = session_number(session)
         if kind == "OVER":
-            self.tell({"session": number(session), "over": fields["how"]})
+            self.publish({"session": number, "over": fields["how"]})
         elif kind == "NOTE":
-            self.tell({"session": number(session), "note": fields["topic"], "value": float(fields["figure"])})
+            self.publish({"session": number, "note": fields["topic"], "value": float(fields["figure"])})
         else:
-            self.answers.put((int(kind), self.cmsd, fields.get("body", "").encode()))
+            self.answers.put(Answer(int(kind), self.cmsd, fields.get("body", "").encode()))
--- a/tests/scenario_viewers.py
+++ b/tests/scenario_viewers.py
@@ -4,59 +4,73 @@
 
 import http.client
 import socket
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, BinaryIO
 
-from scenario_actor import PATIENCE, Actor, name, number, reset
+from scenario_actor import PATIENCE_S, Actor, reset_connection, session_name, session_number
 
 if TYPE_CHECKING:
     from scenario import World
 
+CSEQ_BY_METHOD = {"SETUP": "1", "TEARDOWN": "2"}
+OTHER_CSEQ = "3"
+
+
+def set_up_headers(fields: dict[str, str]) -> dict[str, str]:
+    """The headers of a set-up, the same over RTSP and HTTP."""
+    viewer = f"{int(fields.get('viewer', 'aa'), 16):016x}"
+    path = f"home:{fields.get('home', '0')};copies:{fields.get('copies', '1')};top:2;viewer:{viewer}"
+    path += f";again:{fields['again']}" if "again" in fields else ""
+    tenant = {"P-Billed": fields["tenant"]} if "tenant" in fields else {}
+    return {
+        **tenant,
+        "P-Kind": fields.get("kind", "clip"),
+        "P-Time-Left": fields.get("left", "3000"),
+        "P-Path": fields.get("path", path) + (f";at:s-{fields['at']}" if "at" in fields else ""),
+        "X-Length": fields.get("length", "20000.0"),
+    }
+
 
 class Viewer(Actor):
     """One RTSP connection."""
 
     def __init__(self, world: World, label: str) -> None:
         super().__init__(world, label)
-        self.socket = socket.create_connection(world.listen, timeout=PATIENCE)
+        self.socket = socket.create_connection(world.rtsp_address, timeout=PATIENCE_S)
         self.socket.settimeout(None)
-        self.reader = self.thread(self.read)
+        self.reader = self.start_thread(self._read)
 
-    def read(self) -> None:
+    def _read(self) -> None:
         with self.socket.makefile("rb") as stream:
-            self.hear(stream)
-
-    def hear(self, stream: Any) -> None:
-        while True:
-            first = stream.readline().decode().split(" ", 2)
-            if first == [""]:
-                self.heard.put(("CLOSED", "", {}))
-                return
-            headers = {}
-            while line := stream.readline().decode().strip():
-                key, _, value = line.partition(":")
-                headers[key.lower()] = value.strip()
-            body = stream.read(int(headers["content-length"])).decode()
-            fields = {
-                "body": body,
-                "cseq": headers.get("cseq", ""),
-                "why": headers.get("reason", ""),
-                "gap": headers.get("p-gap-ms", ""),
-                "reason": first[2].strip(),
-            }
-            kind = first[1] if first[0] == "RTSP/1.0" else first[0]
-            self.heard.put((kind, name(headers.get("session", "")), fields))
+            while self._read_message(stream):
+                pass
+
+    def _read_message(self, stream: BinaryIO) -> bool:
+        """Receive one message; False at the end of the connection."""
+        first = stream.readline().decode().split(" ", 2)
+        if first == [""]:
+            self.receive("CLOSED")
+            return False
+        headers = {}
+        while line := stream.readline().decode().strip():
+            key, _, value = line.partition(":")
+            headers[key.lower()] = value.strip()
+        fields = {
+            "body": stream.read(int(headers["content-length"])).decode(),
+            "cseq": headers.get("cseq", ""),
+            "why": headers.get("reason", ""),
+            "gap": headers.get("p-gap-ms", ""),
+            "reason": first[2].strip(),
+        }
+        kind = first[1] if first[0] == "RTSP/1.0" else first[0]
+        self.receive(kind, session_name(headers.get("session", "")), fields)
+        return True
 
     def send(self, kind: str, session: str, fields: dict[str, str]) -> None:
+        """Send a request, or with ``RAW`` these bytes."""
         if kind == "RAW":
             self.socket.sendall(fields["raw"].encode("latin-1"))
             return
-        headers = {"CSeq": {"SETUP": "1", "TEARDOWN": "2"}.get(kind, "3"), "Session": number(session)}
-        if kind == "SETUP":
-            headers.update(set_up(fields))
-        if "token" in fields:
-            headers["P-Token"] = self.world.token(fields)
-        if "cause" in fields:
-            headers["Reason"] = f"cause={fields['cause']}"
+        headers = self._headers(kind, session, fields)
         body = fields.get("body", "")
         lines = [
             f"{kind} rtsp://media/{fields.get('title', 'aa00')} RTSP/1.0",
@@ -67,9 +81,20 @@
         ]
         self.socket.sendall("\r\n".join(lines).encode())
 
+    def _headers(self, kind: str, session: str, fields: dict[str, str]) -> dict[str, str]:
+        headers = {"CSeq": CSEQ_BY_METHOD.get(kind, OTHER_CSEQ), "Session": session_number(session)}
+        if kind == "SETUP":
+            headers.update(set_up_headers(fields))
+        if "token" in fields:
+            headers["P-Token"] = self.world.token(fields)
+        if "cause" in fields:
+            headers["Reason"] = f"cause={fields['cause']}"
+        return headers
+
     def close(self, how: str = "") -> None:
+        """Close in order, with a ``reset``, or ``half``: only what it sends ends."""
         if how == "reset":
-            reset(self.socket, self.reader)
+            reset_connection(self.socket, self.reader)
         elif how == "half":
             self.socket.shutdown(socket.SHUT_WR)
         else:
@@ -77,54 +102,50 @@
             self.socket.close()
 
 
-def set_up(fields: dict[str, str]) -> dict[str, str]:
-    """The headers of a set-up, alike on both fronts."""
-    path = f"home:{fields.get('home', '0')};copies:{fields.get('copies', '1')};top:2;viewer:{int(fields.get('viewer', 'aa'), 16):016x}"
-    path += f";again:{fields['again']}" if "again" in fields else ""
-    tenant = {"P-Billed": fields["tenant"]} if "tenant" in fields else {}
-    return {
-        **tenant,
-        "P-Kind": fields.get("kind", "clip"),
-        "P-Time-Left": fields.get("left", "3000"),
-        "P-Path": fields.get("path", path) + (f";at:s-{fields['at']}" if "at" in fields else ""),
-        "X-Length": fields.get("length", "20000.0"),
-    }
-
-
 class Player(Actor):
     """An HTTP player: each request goes out on a thread, its answer is expected by its status."""
 
     def send(self, kind: str, session: str, fields: dict[str, str]) -> None:
-        method, path, headers = {
-            "SETUP": ("POST", f"/media/{fields.get('title', 'aa00')}", set_up(fields)),
-            "HINT": ("POST", f"/sessions/{number(session)}", {}),
-            "WAIT": ("GET", f"/sessions/{number(session)}", {}),
-            "TEARDOWN": ("DELETE", f"/sessions/{number(session)}", {}),
-            "READY": ("GET", "/ready", {}),
-            "RENEW": ("PUT", f"/sessions/{number(session)}/token", {}),
-        }[kind]
-        if "token" in fields:
-            headers["Authorization"] = f"Bearer {self.world.token(fields)}"
-        if kind == "SETUP":
-            headers["Session"] = number(session)
-        headers.update({key: value for key, value in fields.items() if key.startswith(("CMCD-", "Auth"))})
-        if "CMCD" in fields:
-            path += f"?CMCD={fields['CMCD']}"
-        connection = http.client.HTTPConnection(*self.world.hints, timeout=PATIENCE)
-        self.connection = connection
+        """Send a request on a connection of its own."""
+        method, path = self._method_and_path(kind, session, fields)
+        headers = self._headers(kind, session, fields)
+        body = fields.get("body", "").encode()
+        connection = http.client.HTTPConnection(*self.world.http_address, timeout=PATIENCE_S)
         connection.connect()
         self.socket = connection.sock
 
-        def work() -> None:
-            connection.request(method, path, fields.get("body", "").encode(), headers)
+        def request() -> None:
+            connection.request(method, path, body, headers)
             with connection.getresponse() as answer:
-                said = {"body": answer.read().decode(), "retry": answer.getheader("retry-after", "")}
-                self.heard.put((str(answer.status), "", said))
+                retry_after = answer.getheader("retry-after", "")
+                self.receive(str(answer.status), "", {"body": answer.read().decode(), "retry": retry_after})
+
+        self.reader = self.start_thread(request)
+
+    def _method_and_path(self, kind: str, session: str, fields: dict[str, str]) -> tuple[str, str]:
+        session_path = f"/sessions/{session_number(session)}"
+        method, path = {
+            "SETUP": ("POST", f"/media/{fields.get('title', 'aa00')}"),
+            "HINT": ("POST", session_path),
+            "WAIT": ("GET", session_path),
+            "TEARDOWN": ("DELETE", session_path),
+            "READY": ("GET", "/ready"),
+            "RENEW": ("PUT", f"{session_path}/token"),
+        }[kind]
+        return method, path + (f"?CMCD={fields['CMCD']}" if "CMCD" in fields else "")
 
-        self.reader = self.thread(work)
+    def _headers(self, kind: str, session: str, fields: dict[str, str]) -> dict[str, str]:
+        headers = set_up_headers(fields) if kind == "SETUP" else {}
+        if "token" in fields:
+            headers["Authorization"] = f"Bearer {self.world.token(fields)}"
+        if kind == "SETUP":
+            headers["Session"] = session_number(session)
+        given = {key: value for key, value in fields.items() if key.startswith(("CMCD-", "Auth"))}
+        return {**headers, **given}
 
     def close(self, how: str = "") -> None:
+        """End the connection of the last request: in order, with a ``reset``, or ``half``."""
         if how == "reset":
-            reset(self.socket, self.reader)
+            reset_connection(self.socket, self.reader)
         else:
             self.socket.shutdown(socket.SHUT_WR if how == "half" else socket.SHUT_RDWR)
--- a/tests/stepped.py
+++ b/tests/stepped.py
@@ -1,9 +1,12 @@
-"""A broker in this process, on real connections, whose every look the test makes: its timers and its sockets, in either
-order, on a clock that the test may put forward. That is what a process that was held up does: its timers are due before it
-has looked at what came meanwhile."""
+"""A broker in this process, on real connections, that looks at its timers and sockets when the test says so.
+
+Timers and sockets may be looked at in either order, on a clock that the test may put forward. That is what
+a process that was held up does: its timers are due before it has looked at what came meanwhile.
+"""
 
 from __future__ import annotations
 
+import contextlib
 import json
 import os
 import socket
@@ -12,10 +15,10 @@
 import unittest
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 from unittest.mock import patch
 
-from scenario import PATIENCE, SETTINGS
+from scenario import PATIENCE_S, SETTINGS
 from twisted.internet.epollreactor import EPollReactor
 
 from lotuspick.program.daemon import Daemon
@@ -23,11 +26,47 @@
 from lotuspick.transport import sockets
 from lotuspick.transport.sockets import now_us
 
+Found = TypeVar("Found")
+LOOK_S = 0.01
+
+
+def address(listener: socket.socket) -> str:
+    """Where a socket of this process listens."""
+    return f"127.0.0.1:{listener.getsockname()[1]}"
+
+
+def make_configuration(edge_server: str, coordinator: str) -> dict[str, Any]:
+    """What the broker reads at its start; it knows one server, which holds cell 0."""
+    server = {
+        "id": "s-e0",
+        "addr": edge_server,
+        "zone": "a",
+        "kind": "box",
+        "cell": 0,
+        "state": "in_service",
+        "weight": 1,
+        "started_ms": 0,
+    }
+    complete_list = {"version": 1, "full": True, "servers": [server]}
+    return {
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "seed": "1",
+        "settings": SETTINGS,
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "coordinator": coordinator,
+        "known": {"index": 1, "updates": [{"index": 1, "endpoints": complete_list}]},
+    }
+
 
 class Stepped(unittest.TestCase):
+    """Tests of a broker whose every look the test makes."""
+
     hints = False
+    """The broker serves HTTP players too."""
 
     def setUp(self) -> None:
+        """Start the broker, an edge server that only listens, and such a coordinator."""
         clock = patch.object(sockets, "MONOTONIC_TO_UNIX_NS", sockets.MONOTONIC_TO_UNIX_NS)
         clock.start()
         self.addCleanup(clock.stop)
@@ -37,40 +76,7 @@
         self.stopped = False
         self.reactor.stop = lambda: setattr(self, "stopped", True)  # type: ignore[method-assign]
         self.edge, self.coordinator = self.listen(), self.listen()
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        path = Path(folder.name, "config.json")
-        entry = {
-            "id": "s-e0",
-            "addr": f"127.0.0.1:{self.edge.getsockname()[1]}",
-            "zone": "a",
-            "kind": "box",
-            "cell": 0,
-            "state": "in_service",
-            "weight": 1,
-            "started_ms": 0,
-        }
-        path.write_text(
-            json.dumps(
-                {
-                    "name": "n0",
-                    "listen": "127.0.0.1:0",
-                    "seed": "1",
-                    "settings": SETTINGS,
-                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                    "coordinator": f"127.0.0.1:{self.coordinator.getsockname()[1]}",
-                    "known": {
-                        "index": 1,
-                        "updates": [
-                            {"index": 1, "endpoints": {"version": 1, "full": True, "servers": [entry]}}
-                        ],
-                    },
-                }
-            )
-        )
-        front = Path(folder.name, "hints.toml")
-        front.write_text('enabled = true\nlisten = "127.0.0.1:0"\n')
-        files = Files(path, front if self.hints else None)
+        files = self._write_files()
         with patch.dict(os.environ, {"PROXY_NAME": "n0"}, clear=False):
             for key in ("PROXY_CONFIG", "PROXY_LISTEN", "PROXY_NAME"):
                 os.environ.pop(key, None)
@@ -78,27 +84,39 @@
         self.daemon.start()
         self.port = self.daemon.listener.getHost().port
 
+    def _write_files(self) -> Files:
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        configuration = make_configuration(address(self.edge), address(self.coordinator))
+        path = Path(folder.name, "config.json")
+        path.write_text(json.dumps(configuration))
+        hints = Path(folder.name, "hints.toml")
+        hints.write_text('enabled = true\nlisten = "127.0.0.1:0"\n')
+        return Files(path, hints if self.hints else None)
+
     def _end(self) -> None:
-        for each in self.reactor.removeAll():
-            if hasattr(each, "connectionLost") and each is not self.reactor.waker:
+        for selectable in self.reactor.removeAll():
+            if hasattr(selectable, "connectionLost") and selectable is not self.reactor.waker:
                 with patch.object(self.reactor, "callLater"):
-                    each.stopReading()
-                    each.socket.close() if hasattr(each, "socket") else None
+                    selectable.stopReading()
+                    if hasattr(selectable, "socket"):
+                        selectable.socket.close()
         self.reactor._poller.close()
 
     def listen(self) -> socket.socket:
-        made = socket.socket()
-        self.addCleanup(made.close)
-        made.bind(("127.0.0.1", 0))
-        made.listen(16)
-        made.settimeout(PATIENCE)
-        return made
+        """A socket that listens, and takes no connection by itself."""
+        listener = socket.socket()
+        self.addCleanup(listener.close)
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(16)
+        listener.settimeout(PATIENCE_S)
+        return listener
 
     def call(self, port: int = 0) -> socket.socket:
         """A viewer's connection."""
-        made = socket.create_connection(("127.0.0.1", port or self.port), timeout=PATIENCE)
-        self.addCleanup(made.close)
-        return made
+        connection = socket.create_connection(("127.0.0.1", port or self.port), timeout=PATIENCE_S)
+        self.addCleanup(connection.close)
+        return connection
 
     def held_up(self, seconds: float) -> None:
         """So much time passes in which this process looks at nothing."""
@@ -108,12 +126,16 @@
         """Whatever is due runs, before anything is looked at."""
         self.reactor.runUntilCurrent()
 
-    def until(self, what: Callable[[], Any]) -> Any:
-        """Go on in good order until something is so."""
-        end_s = time.monotonic() + PATIENCE
-        while not (found := what()):
+    def until(self, condition: Callable[[], Found]) -> Found:
+        """Go on in good order until something is so.
+
+        Raises:
+            AssertionError: it never is.
+        """
+        end_s = time.monotonic() + PATIENCE_S
+        while not (found := condition()):
             self.assertLess(time.monotonic(), end_s, "it never came")
-            self.reactor.doIteration(0.01)
+            self.reactor.doIteration(LOOK_S)
             self.reactor.runUntilCurrent()
         return found
 
@@ -121,26 +143,25 @@
         """The connection that the broker opens to the edge server."""
         self.edge.settimeout(0.0)
 
-        def come() -> socket.socket | None:
+        def accept() -> socket.socket | None:
             try:
                 return self.edge.accept()[0]
             except BlockingIOError:
                 return None
 
-        made: socket.socket = self.until(come)
-        self.addCleanup(made.close)
-        return made
+        connection = self.until(accept)
+        assert connection is not None
+        self.addCleanup(connection.close)
+        return connection
 
     def hears(self, connection: socket.socket, text: bytes) -> None:
         """The broker says this there."""
         connection.settimeout(0.0)
-        heard = bytearray()
+        received = bytearray()
 
-        def come() -> bool:
-            try:
-                heard.extend(connection.recv(65536))
-            except BlockingIOError:
-                pass
-            return text in heard
+        def has_received() -> bool:
+            with contextlib.suppress(BlockingIOError):
+                received.extend(connection.recv(65536))
+            return text in received
 
-        self.until(come)
+        self.until(has_received)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -103,13 +103,13 @@
 class Deaf(Broker):
     """A broker whose lines nobody reads, once it serves: they fill their pipe, and whoever writes more waits."""
 
-    def read(self) -> None:
+    def read_log(self) -> None:
         assert self.process.stderr is not None
         while not (
             said := re.search(r"msg=serving .*listen=127\.0\.0\.1:(\d+)", self.process.stderr.readline())
         ):
             pass
-        self.heard.put(("serving", "", {"port": said[1]}))
+        self.receive("serving", "", {"port": said[1]})
 
 
 class Floods(unittest.TestCase):
@@ -119,7 +119,7 @@
         world.broker.process.kill()
         world.broker.expect("EXIT", "", {})
         world.broker = world.actors["b"] = Deaf(world, world.command, world.environment)
-        world.listen = ("127.0.0.1", world.broker.port())
+        world.rtsp_address = ("127.0.0.1", world.broker.wait_for_port())
         copy = SETUP % 9_000
         for flood in range(1, 9):
             copies = copy.replace(ID.hex().encode(), b"%016x" % (100 + flood)) * 200
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from helpers import SECOND, controller, of, request
-from scenario import Node, World, number
+from scenario import MediaNode, World, session_number
+from scenario_http import Answer
 
 from lotuspick.core.actions import ForwardAttempt
 from lotuspick.core.controller import Controller
@@ -157,7 +158,7 @@
 STALL = 8.0  # points of worth lost for each point of the rate that is missing
 
 
-class MediaNode(Node):
+class LoadedNode(MediaNode):
     """A node with a link that its sessions share with others'. ``told``: what its hints say of its room."""
 
     def __init__(self, world: World, label: str) -> None:
@@ -171,14 +172,14 @@
         ladder = (100.0, 200.0, 400.0)
         return self.others + sum(ladder[rung] for rung in self.rungs.values()) / LINK_KB
 
-    def answer(self, method: str, path: str, query: dict[str, str], body: bytes) -> tuple[int, dict, bytes]:
+    def respond(self, method: str, path: str, query: dict[str, str], body: bytes) -> Answer:
         if path == "/events":
-            self.heard.put(("POLL", "", query))
-            return super().answer(method, path, query, body)
+            self.receive("POLL", "", query)
+            return super().respond(method, path, query, body)
         session = path.rpartition("/")[2]
         if method == "DELETE":
             self.rungs.pop(session, None)
-            return 204, {}, b""
+            return Answer(204, {}, b"")
         self.rungs[session] = int(query["rung"])
         free = {
             "honest": 1 - self.load,
@@ -191,12 +192,12 @@
             if free is None
             else {"CMSD-Dynamic": f'"s-{self.label}";etp={max(0, int(free * LINK_KB * 8))}'}
         )
-        return 200, hints, self.label.encode()
+        return Answer(200, hints, self.label.encode())
 
     def note(self, session: str) -> None:
         """Tell the load, and wait until the broker has taken that in: it asks for what comes after."""
-        self.tell({"session": number(session), "note": "nic", "value": self.load})
-        while int(self.heard.get(timeout=20)[2].get("after", -1)) < len(self.events):
+        self.publish({"session": session_number(session), "note": "nic", "value": self.load})
+        while int(self.received.get(timeout=20).fields.get("after", -1)) < len(self.events):
             pass
 
 
@@ -205,7 +206,7 @@
     record, while others fill the link of one node. A node that turns tells the truth only till then. The mean worth of those who came after that."""
     world = World(
         hints=True,
-        node=MediaNode,
+        node=LoadedNode,
         n0="up",
         n1="up",
         seed=seed,
@@ -223,13 +224,13 @@
             if index == EARLY + LATE:
                 break
             world.play(f"p send SETUP s{index} copies=2 path=home:0;copies:2;top:2;viewer:{index:016x}")
-            status, _, said = world.actors["p"].heard.get(timeout=20)
+            status, _, said = world.actors["p"].received.get(timeout=20)
             assert status == "200", status
             node = world.actors[said["body"]]
             if index < EARLY:
                 node.note(f"s{index}")
             else:
-                late.append((node, number(f"s{index}")))
+                late.append((node, session_number(f"s{index}")))
             if players != "none":
                 short = (node.load > 1) == (players == "honest")
                 world.play(
--- a/tests/test_seats_live.py
+++ b/tests/test_seats_live.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from helpers import SECOND, entry, request, settings
-from scenario import ROOT, World, number
+from scenario import ROOT, World, session_number
 from test_plugin import CLASSES, Library
 
 from lotuspick.core.events import ServerListUpdate
@@ -218,7 +218,7 @@
         """
         )
         Path(world.folder.name, "proofs").write_text(
-            json.dumps({"session": number("s2"), "ran": False}) + "\n"
+            json.dumps({"session": session_number("s2"), "ran": False}) + "\n"
         )
         world.play("""
             b send HUP
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -198,7 +198,7 @@
         """Classes, ladder and deadlines of the new file must not meet the old ones in a request that is under way."""
         made = World()
         self.addCleanup(made.end)
-        told = json.loads(json.dumps(made.told))
+        told = json.loads(json.dumps(made.configuration))
         told["settings"]["Categories"] = [
             {"Name": "seated", "Repeat": "side_effect", "TargetUs": 300_000, "Worth": 4.0}
         ]
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -147,10 +147,10 @@
             for each in signals:
                 world.broker.process.send_signal(each)
             newer = path.with_suffix(".newer")
-            newer.write_text(json.dumps({**world.told, "coordinator": world.actor("c2").address}))
+            newer.write_text(json.dumps({**world.configuration, "coordinator": world.actor("c2").address}))
             newer.rename(path)
             pipe.write(first)
-        world.listen = ("127.0.0.1", world.broker.port())
+        world.rtsp_address = ("127.0.0.1", world.broker.wait_for_port())
         return world
 
     def test_a_reload_that_crosses_the_reading_takes_the_newer_file(self) -> None:
