--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -12,7 +12,7 @@
 from scenario import Broker, Scenario, World
 from stepped import Stepped
 from test_held_up import ANSWER, ID, SETUP, frame
-from test_scenario_input import Malformed
+from test_scenario_input import MalformedInput
 from twisted.internet import error
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
@@ -29,8 +29,8 @@
 ROOM = {"PlacesByKind": [100], "WeightKb": 100_000.0}
 
 
-class Doors(Scenario):
-    def test_newcomers_for_whom_nobody_can_be_closed_wait_and_are_served(self) -> None:
+class ConnectionLimit(Scenario):
+    def test_newcomers_with_nobody_to_evict_wait_and_are_served(self) -> None:
         """Half of 64 is room for 32 viewers, and for 4 newcomers more; each has a set-up open."""
         crowd = "\n".join(
             f"v{each} send SETUP s{each} kind=exam left=15000\ne0 expect SETUP s{each}"
@@ -56,7 +56,7 @@
             rules={"StreamsPerConn": 64},
         )
 
-    def test_what_waits_outside_is_taken_before_an_end(self) -> None:
+    def test_newcomers_that_wait_are_accepted_before_a_shutdown(self) -> None:
         crowd = "\n".join(
             f"v{each} send SETUP s{each} kind=exam left=9000\ne0 expect SETUP s{each}"
             for each in range(1, 37)
@@ -85,22 +85,22 @@
         )
 
 
-class Rests(Scenario):
-    def test_one_that_rests_and_leaves_is_known_to_have_left_though_much_lies_unread(self) -> None:
+class Backpressure(Scenario):
+    def test_viewer_under_backpressure_that_leaves_has_its_set_up_cancelled(self) -> None:
         for how in ("close", "close reset", "close half"):
             with self.subTest(how):
                 self.play(f"""
                     v1 send SETUP s1 kind=exam left=60000
                     e0 expect OPENED
                     e0 expect SETUP s1
-                    v1 send RAW {Malformed.WRONG * 800!r}
+                    v1 send RAW {MalformedInput.BAD_SET_UP * 800!r}
                     v1 expect 400
                     v1 {how}
                     e0 expect RELEASE s1 cause=16
                 """)
 
 
-class Deaf(Broker):
+class BrokerWithUnreadLog(Broker):
     """A broker whose lines nobody reads, once it serves: they fill their pipe, and whoever writes more waits."""
 
     def read_log(self) -> None:
@@ -112,13 +112,13 @@
         self.receive("serving", "", {"port": said[1]})
 
 
-class Floods(unittest.TestCase):
-    def test_floods_cost_others_nothing_though_nobody_reads_the_lines(self) -> None:
+class DuplicateFloods(unittest.TestCase):
+    def test_floods_of_duplicates_with_an_unread_log_leave_others_served(self) -> None:
         world = World()
         self.addCleanup(world.end)
         world.broker.process.kill()
         world.broker.expect("EXIT", "", {})
-        world.broker = world.actors["b"] = Deaf(world, world.command, world.environment)
+        world.broker = world.actors["b"] = BrokerWithUnreadLog(world, world.command, world.environment)
         world.rtsp_address = ("127.0.0.1", world.broker.wait_for_port())
         copy = SETUP % 9_000
         for flood in range(1, 9):
@@ -134,10 +134,10 @@
         """)
 
 
-class Unread(Stepped):
+class UnreadCloses(Stepped):
     """The other side closes, which lies unread when something is written there."""
 
-    def test_a_set_up_written_to_a_server_that_has_closed_is_answered_once_and_runs_once(self) -> None:
+    def test_set_up_written_to_a_closed_server_is_answered_once_and_runs_once(self) -> None:
         for reset, kind, answer in (
             (False, b"exam", b" 500 "),
             (True, b"exam", b" 500 "),
@@ -168,7 +168,7 @@
                 again.settimeout(0.0)
                 self.assertNotIn(b"\x01" + OTHER, again.recv(65536) if readable(again.fileno()) else b"")
 
-    def test_a_viewer_that_has_closed_when_its_answer_is_written_leaves_the_rest_alone(self) -> None:
+    def test_answer_written_to_a_closed_viewer_leaves_its_session_playing(self) -> None:
         for reset in (False, True):
             with self.subTest(reset=reset):
                 self.doCleanups()
@@ -217,7 +217,7 @@
         pass
 
 
-class Ends(unittest.TestCase):
+class ConnectionEnds(unittest.TestCase):
     def setUp(self) -> None:
         self.clock, self.posted = Clock(), list[Any]()
         self.front = RtspServer(
@@ -230,7 +230,7 @@
         self.posted.clear()
         return viewer
 
-    def test_one_that_is_closed_in_order_has_left_at_once_and_is_gone_in_time_though_it_does_not_read(
+    def test_connection_closed_in_order_that_does_not_read_is_gone_in_time(
         self,
     ) -> None:
         viewer = self.come()
@@ -249,12 +249,12 @@
             ([ViewerConnectionClosed(viewer)], {}, set()),
         )
 
-    def test_no_timer_outlives_its_connection_and_its_end_is_told_once(self) -> None:
+    def test_connection_that_ends_leaves_no_timer_and_is_reported_once(self) -> None:
         for way in (
             lambda each: None,
             lambda each: each.dataReceived(b"OPTIONS x"),
             lambda each: each.pauseProducing(),
-            lambda each: each.dataReceived(Malformed.WRONG * 9),
+            lambda each: each.dataReceived(MalformedInput.BAD_SET_UP * 9),
             lambda each: each.dataReceived(b"x\r\n"),
             lambda each: each.drop(TerminationReason.CONNECTION_LIMIT),
             lambda each: each.stop_sending(),
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -27,11 +27,11 @@
 NOW = 20 * SECOND
 
 
-def note(topic: str, value: float, server: str = "s0") -> SessionNotification:
+def load_notification(topic: str, value: float, server: str = "s0") -> SessionNotification:
     return SessionNotification("none", server, topic, value)
 
 
-def playing(name: str, server: str = "s0", **changes: object) -> SessionPlaying:
+def playing_session(name: str, server: str = "s0", **changes: object) -> SessionPlaying:
     base = request(name, NOW, **changes)
     names = (
         "session",
@@ -46,7 +46,7 @@
     return SessionPlaying(**{key: getattr(base, key) for key in names}, server=server)
 
 
-def test_rungs_have_levels_so_that_the_first_to_come_leave_room() -> None:
+def test_rungs_by_load_limit_leave_capacity_for_later_sessions() -> None:
     made = controller(count=1)
     rungs = []
     for n in range(24):
@@ -59,7 +59,7 @@
     assert len(served) >= 4
 
 
-def test_a_step_worth_less_a_kb_has_a_lower_level() -> None:
+def test_load_limit_of_a_rung_worth_less_per_kb_is_lower() -> None:
     made = controller()
     for cls in made.classes.values():
         levels = [made.rungs.load_limit(cls, rung) for rung in range(4)]
@@ -69,7 +69,7 @@
     )  # three times the worth
 
 
-def test_levels_rise_while_nothing_is_short_and_fall_with_the_sessions_that_are() -> None:
+def test_free_load_rises_without_shortage_and_falls_with_short_sessions() -> None:
     made = controller(count=2)
     before = made.rungs.free_load
     for second in range(1, 6):
@@ -79,14 +79,14 @@
     place(made, NOW + 6 * SECOND, "a", home_position=0, copies=1)
     place(made, NOW + 6 * SECOND, "b", home_position=1, copies=1)
     high = made.rungs.free_load
-    made.handle(NOW + 6 * SECOND, [note("share", 0.9)])
+    made.handle(NOW + 6 * SECOND, [load_notification("share", 0.9)])
     fallen = high - made.rungs.free_load
     for second in range(200):
-        made.handle(NOW + 6 * SECOND + second, [note("share", 0.9)])
+        made.handle(NOW + 6 * SECOND + second, [load_notification("share", 0.9)])
     assert 0 < fallen < 0.1 and made.rungs.free_load >= 0.3
 
 
-def test_levels_move_in_the_time_in_which_sessions_turn_over() -> None:
+def test_free_load_moves_in_proportion_to_session_turnover() -> None:
     """Where sessions are five times as short, levels that take half a minute to rise come when all is over."""
     rises, falls = [], []
     for length_us in (50e6, 10e6):
@@ -96,26 +96,26 @@
         before = made.rungs.free_load
         made.handle(NOW + SECOND, [])
         rises.append(made.rungs.free_load - before)
-        made.handle(NOW + SECOND, [note("share", 0.9)])
+        made.handle(NOW + SECOND, [load_notification("share", 0.9)])
         falls.append(before + rises[-1] - made.rungs.free_load)
     assert rises[1] == pytest.approx(5 * rises[0]) and falls[1] == pytest.approx(5 * falls[0])
 
 
 @pytest.mark.parametrize("load, home", [(0.2, range(16, 21)), (0.5, range(1))])
-def test_own_zone_is_chosen_unless_it_is_a_good_deal_fuller(load: float, home: range) -> None:
+def test_own_zone_is_chosen_unless_it_is_much_fuller(load: float, home: range) -> None:
     """Few sessions a gateway, all of them priced by the second: near-equal load is no reason to cross."""
     chosen = []
     for seed in range(20):
         made = Controller(settings(cross_zone_price=0.06, positions=2), seed)
         made.handle(0, [ServerListUpdate([entry(0), entry(1, zone="b")], complete=True)])
-        made.handle(NOW, [note("link", load), note("link", 0.18, "s1")])
+        made.handle(NOW, [load_notification("link", load), load_notification("link", 0.18, "s1")])
         placed = place(made, NOW, "a", copies=2, highest_rung=0)
         chosen.append(placed is not None and placed[0] == "s0")
     assert sum(chosen) in home
 
 
 @pytest.mark.parametrize("gateways", [1, 12])
-def test_many_gateways_together_raise_by_the_room_there_is(gateways: int) -> None:
+def test_many_brokers_together_raise_within_the_free_capacity(gateways: int) -> None:
     """Each holds one session of a server; they hear the same notes. One gateway with all of them is alike."""
     raised = 0
     for seed in range(gateways):
@@ -127,33 +127,36 @@
             [
                 event
                 for name in names
-                for event in (playing(name, highest_rung=1), SessionNotification(name, "s0", "rung", 0))
+                for event in (
+                    playing_session(name, highest_rung=1),
+                    SessionNotification(name, "s0", "rung", 0),
+                )
             ],
         )
         made.handle(NOW, [request("x", NOW, home_position=3, copies=1)])
-        raised += len(of(made.handle(NOW + made.rungs.calm_us, [note("link", 0.6)]), SetRung))
+        raised += len(of(made.handle(NOW + made.rungs.calm_us, [load_notification("link", 0.6)]), SetRung))
     # Room up to the level of the rung: some rise, and not so many that the link is short.
     assert 0 < raised <= 12
 
 
-def test_a_cut_below_a_step_is_taken_by_chance() -> None:
+def test_shortage_below_one_rung_lowers_by_chance() -> None:
     lowered = 0
     for seed in range(40):
         made = Controller(settings(brokers=40), seed)
         made.handle(0, [servers(1)])
-        made.handle(NOW, [playing("p", highest_rung=3), SessionNotification("p", "s0", "rung", 2)])
-        lowered += len(of(made.handle(NOW + SECOND, [note("share", 0.93)]), SetRung))
+        made.handle(NOW, [playing_session("p", highest_rung=3), SessionNotification("p", "s0", "rung", 2)])
+        lowered += len(of(made.handle(NOW + SECOND, [load_notification("share", 0.93)]), SetRung))
     assert 2 <= lowered <= 20  # a tenth of 400 kB is wanted of each, a step is 200 kB: one in five
 
 
-def test_the_note_at_setup_is_of_now_and_counts_its_session() -> None:
+def test_notification_at_the_start_includes_its_own_session() -> None:
     made = controller(count=1)
     place(made, NOW, "a", copies=1, highest_rung=0)
     made.handle(NOW + 50_000, [SessionStarted("a", 0, "s0"), SessionNotification("a", "s0", "link", 0.4)])
     assert made.servers["s0"].link.load(0.0, made.context.now) == pytest.approx(0.4)
 
 
-def test_a_rung_chosen_unheard_is_settled_at_the_note_of_setup() -> None:
+def test_rung_chosen_without_notifications_is_adjusted_at_the_first() -> None:
     made = controller(count=1, loads=None, link_kb_per_weight=4000.0, brokers=100)
     made.handle(NOW, [request("x", NOW, home_position=3, copies=1)])
     assert place(made, NOW, "a", copies=1, highest_rung=3) is not None
@@ -164,9 +167,9 @@
     assert before < 3 and [each.rung for each in of(actions, SetRung)] == [before + 1]
 
 
-def test_a_reading_fades_to_the_average_where_no_own_session_would_bring_news() -> None:
+def test_load_without_own_sessions_fades_to_the_average() -> None:
     made = controller(count=2, loads=0.2)
-    made.handle(NOW, [note("link", 2.0)])
+    made.handle(NOW, [load_notification("link", 2.0)])
     line = made.servers["s0"].link
     keep_us = made.context.link_loads.keep_us
     assert line.load(0.2, NOW + keep_us // 2) == 2.0
@@ -175,7 +178,7 @@
     assert line.load(0.2, NOW + keep_us + 6 * READING_FADE_US) == 2.0
 
 
-def test_how_long_readings_and_calm_count_follows_the_time_between_notes() -> None:
+def test_lifetime_of_loads_and_calm_follow_the_notification_interval() -> None:
     """A site whose notes come twice as seldom must not take each reading for out before the next is due."""
     for tell_us in (SECOND, 2 * SECOND, 6 * SECOND):
         made = controller(notification_interval_us=tell_us)
@@ -189,73 +192,73 @@
     )  # none are told: a usual time stands for it
 
 
-def test_unheard_servers_do_not_count_as_full_while_only_full_ones_are_heard() -> None:
+def test_servers_without_notifications_do_not_count_as_full_among_full_ones() -> None:
     made = controller(count=4, loads=None)
-    made.handle(NOW, [note("link", 1.3), note("link", 1.4, "s1")])
+    made.handle(NOW, [load_notification("link", 1.3), load_notification("link", 1.4, "s1")])
     assert made.context.link_loads.value(made.context.now) == POOLS_BIND_FROM_LOAD
     assert place(made, NOW, "a", highest_rung=0) is not None
 
 
-def test_short_share_cuts_own_sessions_once_until_it_can_be_seen() -> None:
+def test_short_share_lowers_own_sessions_once_until_its_effect_shows() -> None:
     made = controller(count=1)
     place(made, NOW, "a", copies=1, highest_rung=3)
     made.handle(NOW, [SessionStarted("a", 0, "s0")])
     before = made.sessions["a"].rung
-    cuts = of(made.handle(NOW + SECOND, [note("share", 0.7)]), SetRung)
+    cuts = of(made.handle(NOW + SECOND, [load_notification("share", 0.7)]), SetRung)
     assert cuts and cuts[0].rung < before
-    assert not of(made.handle(NOW + SECOND + 10_000, [note("share", 0.7)]), SetRung)
+    assert not of(made.handle(NOW + SECOND + 10_000, [load_notification("share", 0.7)]), SetRung)
     assert made.servers["s0"].pools[0] == sum(made.sessions["a"].pool_draws)
 
 
-def test_cut_session_is_raised_after_calm_to_its_own_rung_at_most() -> None:
+def test_lowered_session_is_raised_after_calm_to_its_own_rung_at_most() -> None:
     made = controller(count=1)
     place(made, NOW, "a", copies=1, highest_rung=2)
     made.handle(NOW, [SessionStarted("a", 0, "s0")])
-    made.handle(NOW + SECOND, [note("share", 0.7)])
-    early = made.handle(NOW + SECOND + made.rungs.calm_us // 2, [note("link", 0.1)])
+    made.handle(NOW + SECOND, [load_notification("share", 0.7)])
+    early = made.handle(NOW + SECOND + made.rungs.calm_us // 2, [load_notification("link", 0.1)])
     assert not of(early, SetRung)
-    late = made.handle(NOW + SECOND + made.rungs.calm_us + 1, [note("link", 0.1)])
+    late = made.handle(NOW + SECOND + made.rungs.calm_us + 1, [load_notification("link", 0.1)])
     assert [action.rung for action in of(late, SetRung)] == [2]
 
 
-def test_inherited_session_may_be_raised_when_there_is_room() -> None:
+def test_adopted_session_is_raised_where_there_is_capacity() -> None:
     made = controller(count=1)
-    made.handle(NOW, [playing("old", highest_rung=2), SessionNotification("old", "s0", "rung", 0)])
+    made.handle(NOW, [playing_session("old", highest_rung=2), SessionNotification("old", "s0", "rung", 0)])
     made.handle(
         NOW + SECOND, [request("x", NOW, home_position=3, copies=1)]
     )  # nothing held: room is put together
-    actions = made.handle(NOW + 2 * SECOND, [note("link", 0.1)])
+    actions = made.handle(NOW + 2 * SECOND, [load_notification("link", 0.1)])
     assert SetRung("old", 1) in actions  # a step at a time
 
 
-def test_stalled_link_does_not_move_the_average() -> None:
+def test_load_of_a_stalled_link_does_not_move_the_average() -> None:
     made = controller(loads=0.2)
-    made.handle(NOW, [note("link", 40.0)])
+    made.handle(NOW, [load_notification("link", 40.0)])
     assert made.context.link_loads.value(made.context.now) < 0.3
     assert place(made, NOW, "a") is not None
     assert made.sessions["a"].server is not made.servers["s0"]
 
 
-def test_untold_uplink_is_put_together_and_learned_from_short_shares() -> None:
+def test_uplink_without_notifications_is_aggregated_and_learned_from_short_shares() -> None:
     made = controller(loads=0.45, uplink_kb_per_s=2000.0)
     made.handle(NOW, [request("x", NOW, home_position=3, copies=1, highest_rung=0)])
     before = made.context.racks[0].kb_per_s
-    made.handle(NOW + 1, [note("share", 0.8)])
+    made.handle(NOW + 1, [load_notification("share", 0.8)])
     assert made.context.racks[0].kb_per_s < before and made.context.racks[1].kb_per_s == before
-    made.handle(NOW + 2, [note("share", 0.99)])
+    made.handle(NOW + 2, [load_notification("share", 0.99)])
     assert made.context.racks[0].kb_per_s >= 0.9 * 1000.0
 
 
-def test_share_is_read_as_load_while_load_notes_stay_out() -> None:
+def test_share_counts_as_load_while_load_notifications_are_missing() -> None:
     made = controller(count=1, loads=0.2)
     later = NOW + 30 * SECOND
-    made.handle(later, [note("share", 0.5)])
+    made.handle(later, [load_notification("share", 0.5)])
     assert made.servers["s0"].link.load(0.0, made.context.now) == 2.0
-    made.handle(later + SECOND, [note("share", 0.99)])
+    made.handle(later + SECOND, [load_notification("share", 0.99)])
     assert made.servers["s0"].link.load(0.0, made.context.now) == 1.0
 
 
-def test_failed_server_is_ejected_with_backoff_and_comes_back() -> None:
+def test_server_that_fails_is_ejected_with_backoff_and_comes_back() -> None:
     made = controller(count=1, classes=[ClassSettings("clip", SECOND)])
     now = NOW
     waits = []
@@ -269,7 +272,7 @@
 
 
 @pytest.mark.parametrize("outcome", ["error", "lost", "timeout"])
-def test_a_server_known_to_live_is_left_out_only_for_failures_in_a_row(outcome: str) -> None:
+def test_server_known_to_be_alive_is_ejected_for_consecutive_failures_alone(outcome: str) -> None:
     """Bad requests and spoilt connections fail one by one at every server: they must not empty the fleet."""
     made = controller(count=1)
     for number in range(6):
@@ -292,21 +295,19 @@
     assert place(made, NOW + 10, "after", copies=1) is None
 
 
-def test_a_server_found_gone_is_left_out_and_expected_to_start() -> None:
+def test_server_that_failed_is_ejected_and_expected_to_start() -> None:
     made = controller(count=1)
     made.handle(NOW, [ServerFailed("s0"), ServerFailed("unknown")])
     assert place(made, NOW + 1, "a", copies=1) is None
     assert made.servers["s0"].warm_at > NOW + 60 * SECOND
 
 
-def test_a_gateway_that_starts_alone_paces_guessed_starts_by_the_whole_budget_and_told_ones_by_its_part() -> (
-    None
-):
+def test_broker_that_starts_alone_paces_guessed_server_starts_by_the_whole_budget() -> None:
     def sends(handed_over: bool, started_us: int) -> int:
         made = Controller(settings(brokers=4, link_kb_per_weight=1e6), 7)
         made.handle(NOW, [ServerListUpdate([entry(0, started_us=started_us)], complete=True)])
         if handed_over:
-            made.handle(NOW, [playing("old")])
+            made.handle(NOW, [playing_session("old")])
         return sum(place(made, NOW + number, f"r{number}", copies=1) is not None for number in range(25))
 
     # 0.6 of 2.5 times half its capacity, 30 places in 8 s, over 1.5 s: four; a fourth of it for each of four
@@ -326,26 +327,32 @@
     assert set(made.servers) == {"x49"}
 
 
-def test_a_session_about_to_end_is_not_raised() -> None:
+def test_session_about_to_end_is_not_raised() -> None:
     for left, raised in ((2e6, False), (60e6, True), (None, True)):
         made = controller(count=1, rung_change_cost_s=0.5)
         made.handle(
-            NOW, [playing("old", highest_rung=2, length_us=left), SessionNotification("old", "s0", "rung", 0)]
+            NOW,
+            [
+                playing_session("old", highest_rung=2, length_us=left),
+                SessionNotification("old", "s0", "rung", 0),
+            ],
         )
         made.handle(NOW + SECOND, [request("x", NOW, home_position=3, copies=1)])
-        actions = made.handle(NOW + SECOND, [note("link", 0.1)])
+        actions = made.handle(NOW + SECOND, [load_notification("link", 0.1)])
         assert bool(of(actions, SetRung)) is raised
 
 
-def test_unheard_links_alone_do_not_fill_an_uplink_put_together_from_them() -> None:
+def test_aggregated_uplink_without_notifications_does_not_count_as_full() -> None:
     made = controller(count=12, loads=None, positions=12, uplink_kb_per_s=3900.0, brokers=300)
-    made.handle(NOW, [note("link", 0.9), note("link", 0.9, "s1")])  # the crowded title's servers
+    made.handle(
+        NOW, [load_notification("link", 0.9), load_notification("link", 0.9, "s1")]
+    )  # the crowded title's servers
     assert place(made, NOW, "a", home_position=4, copies=4, highest_rung=0) is not None
 
 
-def test_raises_go_on_while_load_notes_are_overdue() -> None:
+def test_sessions_are_raised_while_load_notifications_are_overdue() -> None:
     made = controller(count=1)
-    made.handle(NOW, [playing("old", highest_rung=2), SessionNotification("old", "s0", "rung", 0)])
+    made.handle(NOW, [playing_session("old", highest_rung=2), SessionNotification("old", "s0", "rung", 0)])
     made.handle(NOW, [request("x", NOW, home_position=3, copies=1)])
     made.servers["s0"].link.base = 0.1
     rungs = [
@@ -356,7 +363,7 @@
     assert rungs and rungs[0] == 1
 
 
-def test_a_session_just_set_up_on_a_line_over_the_limit_is_lowered_at_once() -> None:
+def test_session_just_started_on_a_link_over_the_limit_is_lowered_at_once() -> None:
     made = controller(count=1)
     place(made, NOW, "a", copies=1, highest_rung=3)
     before = made.sessions["a"].rung
@@ -369,7 +376,7 @@
 @pytest.mark.parametrize(
     ("allowed", "most", "told"), [(True, 5 * SECOND, SECOND), (True, 300_000, 300_000), (False, SECOND, 0)]
 )
-def test_a_refusal_says_when_to_come_back(allowed: bool, most: int, told: int) -> None:
+def test_rejection_says_when_to_come_back(allowed: bool, most: int, told: int) -> None:
     made = controller(count=1, retry_after_allowed=allowed, max_retry_after_us=most)
     answers = made.handle(NOW, [request("a", NOW, highest_rung=0, home_position=3, copies=1)])
     answers += made.handle(NOW + 5 * SECOND, [])
--- a/tests/test_edge_messages.py
+++ b/tests/test_edge_messages.py
@@ -20,8 +20,8 @@
 ID = "9b1f03aa5c7e2d41"
 
 
-class Edge(unittest.TestCase):
-    def test_set_up_and_back(self) -> None:
+class EdgeMessages(unittest.TestCase):
+    def test_set_up_survives_encoding_and_decoding(self) -> None:
         message = edge_messages.decode(
             edge_messages.set_up(AttemptRequest(ID, "paid", "t", 2, 1_500, b"a\r\n"))
         )
@@ -30,7 +30,7 @@
             dict(message.parameters), {100: b"paid", 102: b"1500", 108: b"t", 122: b"2", 130: b"a\r\n"}
         )
 
-    def test_what_messages_tell(self) -> None:
+    def test_each_message_is_read_as_its_event(self) -> None:
         report = {118: b"outstanding:44.4;x0:0.838;queue:3;x1:nan"}
         told = {"streams": 44.4, "link": 0.838}
         for kind, parameters, item in (
@@ -69,7 +69,7 @@
                 )
 
     @given(st.binary(max_size=80))
-    def test_any_bytes(self, frame: bytes) -> None:
+    def test_any_bytes_are_read_or_rejected(self, frame: bytes) -> None:
         try:
             edge_messages.read("e", edge_messages.decode(frame))
         except ProtocolError as fault:
--- a/tests/test_edge_server_client.py
+++ b/tests/test_edge_server_client.py
@@ -30,7 +30,7 @@
 ID = "9b1f03aa5c7e2d41"
 
 
-class EdgeLinks(unittest.TestCase):
+class EdgeServerClients(unittest.TestCase):
     """A link without a socket, on a clock of the test's."""
 
     def setUp(self) -> None:
@@ -42,14 +42,14 @@
         self.link = EdgeServerClient(self.pool, "e")
         self.pool.clients["e"] = self.link
 
-    def test_what_was_written_is_never_taken_for_unsent(self) -> None:
+    def test_attempt_that_was_written_is_never_reported_as_unsent(self) -> None:
         for ending in TerminationReason:
             connection = EdgeConnection(self.link)
             self.link.sent_attempts["s"] = SentAttempt(connection, 0.0)
             self.link.connection_closed(connection, ending)
             self.assertNotIn(ATTEMPT_OUTCOMES[self.posted.pop().reason], PROVES_NOT_EXECUTED, ending)
 
-    def test_silence_while_this_process_itself_stood_still_is_no_silence(self) -> None:
+    def test_silence_while_this_process_was_held_up_does_not_count(self) -> None:
         """What came meanwhile has not been read yet when the timers of a process that was held up fire."""
         connection = self.link.connection = EdgeConnection(self.link)
         connection.transport, connection.is_open, connection.partial_message_since_s = Mock(), True, 0.0
@@ -69,7 +69,7 @@
         )
         return connection
 
-    def test_a_set_up_on_a_connection_that_was_rightly_quiet_has_it_checked_by_nobody(self) -> None:
+    def test_set_up_on_a_connection_that_was_rightly_quiet_starts_no_check(self) -> None:
         """At forty brokers each set-up after a pause would open a connection more, and close one in use."""
         self.standing = 0
         self.connect()
@@ -84,7 +84,7 @@
             self.clock.pump([0.1] * 60)
             dial.assert_called()  # silence that is none of ours is looked into all the same
 
-    def test_a_replaced_connection_outlasts_its_last_answer_a_little(self) -> None:
+    def test_replaced_connection_stays_a_second_after_its_last_answer(self) -> None:
         """An edge server cuts a session whose connection is closed in the moment of its answer."""
         old = self.connect()
         self.link.send(QueuedAttempt(b"x", "s"))
@@ -122,7 +122,7 @@
     def dialled(self) -> int:
         return sum(link.dial.call_count for link in self.pool.clients.values())  # type: ignore[attr-defined]
 
-    def test_two_deaths_in_a_zone_have_the_rest_of_it_looked_at(self) -> None:
+    def test_two_failures_in_a_zone_have_the_rest_of_it_checked(self) -> None:
         """Of a zone that is lost some connections show nothing, and each would be found out by its silence."""
         links = self.links("a", "a", "b", "a", "b")
         self.clock.advance(3.0)
@@ -135,7 +135,7 @@
         links[4]._on_dial_failed(TerminationReason.DIAL_REFUSED, links[4].address)
         self.assertEqual(self.dialled(), 1)  # and neither are two with time between them
 
-    def test_servers_that_were_told_to_leave_are_no_lost_zone(self) -> None:
+    def test_draining_servers_that_fail_do_not_count_as_a_lost_zone(self) -> None:
         """At a release many die together, and a dial at every broker to all the others would find them well."""
         links = self.links("a", "a", "a")
         leaving = [ServerEntry(link.server, "a", "box", 0, "draining") for link in links[:2]]
@@ -147,7 +147,7 @@
             link._on_dial_failed(TerminationReason.DIAL_REFUSED, link.address)
         self.assertEqual(self.dialled(), 0)
 
-    def test_a_server_that_was_told_to_leave_may_be_silent_for_longer(self) -> None:
+    def test_draining_server_may_be_silent_for_longer(self) -> None:
         """It plays on without notes, and refuses a dial: taken for dead, all that stands there would be cut."""
         links = self.links("a", "a")
         links[0].draining = True
@@ -156,7 +156,7 @@
         self.clock.pump([0.1] * 50)
         self.assertEqual([bool(link.checking) for link in links], [False, True])
 
-    def test_no_pause_between_checks_keeps_an_end_from_its_viewer(self) -> None:
+    def test_pause_between_checks_delays_no_end_of_a_session(self) -> None:
         links = self.links("a", "a")
         self.pool.limits = EdgeLimits(0.25, 27, silence_s=3, per_connection=32, connections=40)
         self.pool.next_check_s = 1e9
@@ -166,7 +166,7 @@
         self.clock.pump([0.1] * 15)
         self.assertTrue(all(link.checking for link in links))
 
-    def test_when_the_notes_stay_out_few_links_are_checked(self) -> None:
+    def test_missing_notifications_have_few_servers_checked(self) -> None:
         """Silence of all is the notes': a connection each, at every broker and again and again, is dear."""
         links = self.links(*"abcabcabcabc")
         self.pool.limits = EdgeLimits(0.25, 27, silence_s=3, per_connection=32, connections=40)
@@ -193,7 +193,7 @@
         link._on_connected(made, address)
         return made
 
-    def test_one_that_is_being_closed_takes_up_a_descriptor_until_it_is_gone(self) -> None:
+    def test_connection_being_closed_counts_as_a_descriptor_until_it_is_gone(self) -> None:
         self.standing, self.link.address = 0, ("127.0.0.1", 9)
         self.pool.limits = EdgeLimits(0.25, 1, 5, 32, connections=1)
         idle = self.up(self.link)
@@ -208,7 +208,7 @@
         idle.connectionLost(Failure(error.ConnectionAborted()))
         self.assertTrue(self.pool.has_capacity())
 
-    def test_no_timer_of_a_connection_outlives_it(self) -> None:
+    def test_connection_that_ends_leaves_no_timer(self) -> None:
         self.standing, self.link.address = 0, ("127.0.0.1", 9)
         for way in (EdgeConnection.half_close, EdgeConnection.close_after_flush):
             connection = self.up(self.link)
@@ -217,7 +217,7 @@
             connection.connectionLost(Failure(error.ConnectionDone()))
             self.assertEqual(self.clock.getDelayedCalls(), [])
 
-    def test_a_server_told_to_leave_that_refuses_a_dial_and_talks_on_plays_on(self) -> None:
+    def test_draining_server_that_refuses_a_dial_and_talks_on_keeps_its_sessions(self) -> None:
         connection = self.connect()
         for leaving, heard_s, plays in ((True, 0.0, True), (False, 0.0, False)):
             with self.subTest(leaving=leaving):
@@ -228,7 +228,7 @@
                     EdgeServerFailed("e", TerminationReason.SERVER_DOWN) not in self.posted, plays
                 )
 
-    def test_no_descriptor_left_tells_nothing_of_the_server(self) -> None:
+    def test_dial_without_a_descriptor_left_says_nothing_of_the_server(self) -> None:
         self.link.address = ("127.0.0.1", 9)
         self.pool.limits = EdgeLimits(0.25, 27, 5, 32, connections=0)
         self.assertIsNone(self.link.send(QueuedAttempt(b"x", "s")))
@@ -237,7 +237,7 @@
             self.link.sweep(self.clock.seconds())
         self.assertEqual(len(self.posted), 1)
 
-    def test_releases_outlive_dials_that_time_out_and_set_ups_do_not(self) -> None:
+    def test_dial_that_times_out_keeps_releases_and_ends_set_ups(self) -> None:
         self.standing = 0
         self.link.queue.extend([QueuedAttempt(b"x", "s"), QueuedAttempt(b"release")])
         self.link._on_dial_failed(TerminationReason.DIAL_TIMEOUT, self.link.address)
@@ -252,7 +252,7 @@
             ],
         )
 
-    def test_what_waits_at_a_server_that_is_given_up_never_left(self) -> None:
+    def test_attempts_queued_at_a_server_given_up_are_unsent(self) -> None:
         self.link.queue.append(QueuedAttempt(b"x", "s"))
         self.link.mark_down(TerminationReason.SERVER_UNRESPONSIVE)
         self.assertEqual(
--- a/tests/test_endpoint_events.py
+++ b/tests/test_endpoint_events.py
@@ -14,7 +14,7 @@
 ID = "9b1f03aa5c7e2d41"
 
 
-class Json(unittest.TestCase):
+class EndpointEvents(unittest.TestCase):
     SERVER = {
         "id": "s-1",
         "addr": "127.0.0.1:1",
@@ -33,7 +33,7 @@
         ]
         return json.dumps({"index": len(servers), "updates": updates}).encode()
 
-    def test_changes_after_an_index(self) -> None:
+    def test_changes_up_to_the_index_are_left_out(self) -> None:
         answer = endpoint_events.parse(self.answer(self.SERVER, {**self.SERVER, "state": "terminated"}), 1)
         self.assertEqual((answer.last, answer.faults, len(answer.changes)), (2, [], 1))
         entry = answer.changes[0].news.servers[0]
@@ -42,7 +42,7 @@
         )
         self.assertEqual(answer.changes[0].addresses, {"s-1": ("127.0.0.1", 1)})
 
-    def test_a_bad_update_is_named_and_passed_over(self) -> None:
+    def test_bad_update_is_named_and_skipped(self) -> None:
         for key, value in (
             ("state", "odd"),
             ("addr", "nowhere"),
@@ -74,7 +74,7 @@
             ),
         )
     )
-    def test_any_json(self, told: object) -> None:
+    def test_any_json_is_read_or_rejected(self, told: object) -> None:
         for read in (
             lambda text: endpoint_events.parse(text, 0),
             lambda text: media_node_messages.events("n", text),
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -46,7 +46,7 @@
     return head + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-class Feeds(unittest.TestCase):
+class EndpointWatchPolls(unittest.TestCase):
     def setUp(self) -> None:
         self.reactor = MemoryReactorClock()
         self.feed = EndpointWatch(self.reactor, "127.0.0.1:7", 0, lambda change: None)
@@ -66,7 +66,7 @@
     def lose(self, link: Any, how: type[Exception] = error.ConnectionDone) -> None:
         link.connectionLost(Failure(how()))
 
-    def test_one_connection_carries_one_question_after_another(self) -> None:
+    def test_connection_carries_one_poll_after_another(self) -> None:
         link = self.connect()
         for index in range(1, 5):
             self.asked(link, index - 1)
@@ -85,7 +85,7 @@
         self.asked(link, 4)
         self.assertEqual((len(self.reactor.tcpClients), self.feed.index), (1, 4))
 
-    def test_an_answer_may_end_its_connection(self) -> None:
+    def test_answer_that_closes_its_connection_counts_at_its_end(self) -> None:
         link = self.connect()
         link.dataReceived(OK + b"Connection: close\r\n\r\n" + news(3))
         self.assertEqual(self.feed.index, 0)
@@ -93,7 +93,7 @@
         self.reactor.advance(0)
         self.asked(self.connect(), 3)
 
-    def test_one_that_is_closed_between_questions_is_no_fault(self) -> None:
+    def test_connection_closed_between_polls_is_no_failure(self) -> None:
         link = self.connect()
         link.dataReceived(whole(news(1)))
         self.reactor.advance(0)  # the next question crosses the close
@@ -102,7 +102,7 @@
         self.assertFalse(self.feed.failing)
         self.asked(self.connect(), 1)
 
-    def test_whatever_goes_wrong_it_asks_again_after_a_pause(self) -> None:
+    def test_poll_that_fails_in_any_way_is_repeated_after_a_pause(self) -> None:
         half = whole(news(9))[:30]
         for spoilt, ends in (
             (b"nonsense\r\n\r\n", False),
@@ -133,7 +133,7 @@
                 self.reactor.advance(RETRY_S)  # it told nothing, and at once
         self.assertEqual(self.feed.index, 0)
 
-    def test_an_update_that_came_spoilt_is_asked_for_again_and_passed_over_only_where_it_stays_so(
+    def test_malformed_update_is_polled_again_and_skipped_if_it_stays_malformed(
         self,
     ) -> None:
         """Guards against a drain that is never heard of: what is passed over is not told again."""
@@ -157,12 +157,12 @@
             self.reactor.advance(RETRY_S)
         self.assertEqual((self.feed.index, len(told)), (2, 1))
 
-    def test_a_list_of_thousands_of_servers_is_no_fault(self) -> None:
+    def test_list_of_thousands_of_servers_is_read(self) -> None:
         link = self.connect()
         link.dataReceived(whole(news(1, 200 * 4_000)))
         self.assertEqual((self.feed.index, self.feed.failing), (1, False))
 
-    def test_a_coordinator_that_does_not_wait_is_not_asked_in_a_tight_loop(self) -> None:
+    def test_coordinator_that_does_not_wait_is_polled_with_pauses(self) -> None:
         link = self.connect()
         for _ in range(3):
             self.asked(link, 0)
@@ -176,7 +176,7 @@
         self.reactor.advance(0)
         self.asked(link, 0)
 
-    def test_silence_ends_a_wait_and_its_connection(self) -> None:
+    def test_poll_without_an_answer_is_ended_with_its_connection(self) -> None:
         link = self.connect()
         self.reactor.advance(WAIT_MS / 1_000 + GRACE_S)
         self.assertTrue(link.transport.disconnected or link.transport.aborting)
@@ -186,7 +186,7 @@
         self.assertEqual(self.feed.index, 0)
         self.asked(self.connect(), 0)
 
-    def test_a_watch_that_falls_silent_in_the_middle_of_its_answer_is_replaced(self) -> None:
+    def test_poll_that_falls_silent_within_its_answer_is_replaced(self) -> None:
         link = self.connect()
         link.dataReceived(whole(news(5))[:40])
         self.reactor.advance(WAIT_MS / 1_000 + GRACE_S)
@@ -200,7 +200,7 @@
         self.asked(second, 4)
         self.assertEqual(len(self.reactor.tcpClients), 2)
 
-    def test_a_watch_whose_connection_never_comes_up_is_dialled_again(self) -> None:
+    def test_poll_whose_connection_never_comes_up_is_dialled_again(self) -> None:
         *_, (_, _, factory, patience, _) = self.reactor.tcpClients
         self.assertLessEqual(patience, GRACE_S)
         factory.clientConnectionFailed(Mock(), Failure(error.TimeoutError()))
@@ -209,7 +209,7 @@
         self.assertEqual(len(self.reactor.tcpClients), 2)
         self.asked(self.connect(), 0)
 
-    def test_a_move_while_a_dial_is_on_its_way_or_a_failure_is_waited_out_follows_the_new_one_alone(
+    def test_move_during_a_dial_or_a_pause_follows_the_new_coordinator_alone(
         self,
     ) -> None:
         self.feed.move("127.0.0.1:8")  # while the first dial is out
@@ -230,7 +230,7 @@
         self.reactor.advance(RETRY_S)
         self.assertEqual(len(self.reactor.tcpClients), 4, "one watch at a time")
 
-    def test_a_move_gives_up_the_wait(self) -> None:
+    def test_move_ends_the_poll_that_waits(self) -> None:
         link = self.connect()
         self.feed.move("127.0.0.1:8")
         self.assertFalse(link.is_open or self.feed.failing)
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -9,8 +9,8 @@
 LATE = {"DialTimeoutUs": 8_000_000}  # the kernel dials again after 1 and 3 s: so long a dial is out
 
 
-class Starts(Scenario):
-    def test_what_was_written_after_a_start_is_not_cut_by_the_news_of_it(self) -> None:
+class ServerStarts(Scenario):
+    def test_set_up_written_after_a_server_start_is_not_ended_by_its_report(self) -> None:
         """It waited for its connection while the server started; what stands there is the new process's."""
         self.play(
             """
@@ -31,7 +31,7 @@
             e0="silent",
         )
 
-    def test_a_server_that_dies_between_set_up_and_answer_fails_what_is_paid_and_stands_for_nobody(
+    def test_server_that_dies_before_its_answer_fails_paid_set_ups(
         self,
     ) -> None:
         self.play(
@@ -46,7 +46,7 @@
         """
         )
 
-    def test_a_viewer_that_is_back_before_its_old_session_s_end_was_told_has_both(self) -> None:
+    def test_viewer_back_before_its_old_session_ends_hears_of_both(self) -> None:
         self.play(
             PLAYING
             + """
@@ -63,8 +63,8 @@
         )
 
 
-class Moves(Scenario):
-    def test_a_dial_to_the_old_address_tells_nothing_of_the_new_one(self) -> None:
+class AddressChanges(Scenario):
+    def test_dial_to_the_old_address_that_fails_says_nothing_of_the_new_one(self) -> None:
         self.play(
             """
             v1 send SETUP s1 kind=exam left=9000
@@ -81,7 +81,7 @@
             e1="up",
         )
 
-    def test_one_that_comes_up_late_at_the_old_address_is_not_used(self) -> None:
+    def test_connection_that_comes_up_late_at_the_old_address_is_not_used(self) -> None:
         self.play(
             """
             v1 send SETUP s1 kind=exam left=9000
@@ -101,7 +101,7 @@
             e1="up",
         )
 
-    def test_a_list_that_lost_a_server_and_names_it_again_elsewhere(self) -> None:
+    def test_server_listed_again_at_another_address_keeps_its_old_sessions(self) -> None:
         self.play(
             PLAYING
             + """
@@ -120,8 +120,8 @@
         )
 
 
-class Drains(Scenario):
-    def test_what_is_handed_over_while_its_server_drains_plays_on_to_its_end(self) -> None:
+class DrainingServers(Scenario):
+    def test_session_handed_over_while_its_server_drains_plays_on(self) -> None:
         self.play("""
             c send e0 state=draining
             c expect FOLLOWED follow=2
@@ -133,8 +133,8 @@
         """)
 
 
-class Queues(Scenario):
-    def test_set_ups_that_wait_for_a_connection_keep_to_what_it_may_carry(self) -> None:
+class DialQueues(Scenario):
+    def test_set_ups_queued_for_a_dial_keep_to_the_stream_limit(self) -> None:
         self.play(
             """
             v1 send SETUP s1 kind=exam left=9000
--- a/tests/test_hint_messages.py
+++ b/tests/test_hint_messages.py
@@ -11,12 +11,12 @@
 from lotuspick.protocol.errors import ProtocolError
 
 
-class Hints(unittest.TestCase):
+class HintMessages(unittest.TestCase):
     @given(
         st.text(max_size=40)
         | st.from_regex(r'(br|bl|bs|mtp|cid|ot)=?[0-9a-z"?.(]{0,6}(,[a-z]{1,3})?', fullmatch=True)
     )
-    def test_any_text(self, text: str) -> None:
+    def test_any_text_is_read_or_rejected(self, text: str) -> None:
         for read in (
             lambda: cmcd.read({}, text),
             lambda: cmsd.hint("n", {cmsd.DYNAMIC: text, cmsd.STATIC: text}),
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -21,7 +21,7 @@
 NOW = 20 * SECOND
 
 
-class Weighing(unittest.TestCase):
+class HintWeights(unittest.TestCase):
     def made(self) -> Controller:
         return controller(2, loads=0.5, positions=2)
 
@@ -34,12 +34,12 @@
         made.handle(now, [])
         return made.context.hint_trust.load_correction(made.servers["s0"], load, made.context.now)
 
-    def test_an_unknown_source_moves_nothing(self) -> None:
+    def test_hint_of_an_unknown_source_corrects_nothing(self) -> None:
         made = self.made()
         made.handle(NOW, [ServerHint("s0", 0.0)])
         self.assertEqual(self.moved(made), 0.0)
 
-    def test_trust_is_earned_and_the_move_bounded(self) -> None:
+    def test_hint_of_a_trusted_source_corrects_within_bounds(self) -> None:
         made = self.made()
         self.earn(made)
         made.handle(NOW, [ServerHint("s0", 0.0)])
@@ -47,13 +47,13 @@
         made.handle(NOW, [ServerHint("s0", 1e9)])
         self.assertAlmostEqual(self.moved(made), -MAX_HINT_LOWERING)
 
-    def test_a_hint_expires(self) -> None:
+    def test_hint_past_its_lifetime_corrects_nothing(self) -> None:
         made = self.made()
         self.earn(made)
         made.handle(NOW, [ServerHint("s0", 0.0)])
         self.assertEqual(self.moved(made, NOW + HINT_LIFETIME_US + 1), 0.0)
 
-    def test_a_reading_wins_and_costs_trust(self) -> None:
+    def test_hint_that_a_notification_contradicts_loses_trust(self) -> None:
         made = self.made()
         self.earn(made)
         made.handle(NOW, [ServerHint("s0", 0.0), SessionNotification("none", "s0", "link", 0.5)])
@@ -61,7 +61,7 @@
         made.handle(NOW, [ServerHint("s0", 0.0)])
         self.assertAlmostEqual(self.moved(made), MAX_HINT_RAISE / 2)
 
-    def test_a_player_speaks_of_its_own_server_alone_and_only_while_it_plays(self) -> None:
+    def test_player_hint_counts_for_its_own_server_while_it_plays(self) -> None:
         made = self.made()
         send = of(made.handle(NOW, [request("a", NOW, copies=2)]), ForwardAttempt)[0]
         made.handle(NOW, [PlayerHint("a", starved=True), PlayerHint("nobody", starved=True)])
@@ -69,7 +69,7 @@
         made.handle(NOW, [SessionStarted("a", 0, send.server, 1_000), PlayerHint("a", starved=True)])
         self.assertEqual([name for name, server in made.servers.items() if server.claims], [send.server])
 
-    def test_a_player_that_cries_short_is_believed_once_shares_bear_it_out(self) -> None:
+    def test_player_hint_of_a_shortage_counts_once_shares_confirm_it(self) -> None:
         made = self.made()
         send = of(made.handle(NOW, [request("a", NOW, copies=2)]), ForwardAttempt)[0]
         made.handle(NOW, [SessionStarted("a", 0, send.server, 1_000)])
@@ -86,7 +86,7 @@
         made.handle(NOW, [SessionNotification("a", send.server, "share", 1.0)])
         self.assertEqual(made.context.hint_trust.load_correction(server, 0.5, made.context.now), 0.0)
 
-    def test_a_player_that_is_well_earns_no_trust_for_its_cries(self) -> None:
+    def test_player_hint_of_a_good_state_earns_no_trust_for_shortages(self) -> None:
         made = self.made()
         send = of(made.handle(NOW, [request("a", NOW, copies=2)]), ForwardAttempt)[0]
         made.handle(NOW, [SessionStarted("a", 0, send.server, 1_000)])
@@ -105,7 +105,7 @@
         self.earn(made, 1)
         self.assertEqual(len(made.context.hint_trust.by_source), 4_096)
 
-    def test_nonsense_is_refused_where_it_is_made(self) -> None:
+    def test_hint_with_an_impossible_value_raises(self) -> None:
         for make in (
             lambda: ServerHint("s0", -1.0),
             lambda: ServerHint("s0", float("nan")),
@@ -116,8 +116,8 @@
                 make()
 
 
-class Codecs(unittest.TestCase):
-    def test_cmcd_of_headers_and_query(self) -> None:
+class HintCodecs(unittest.TestCase):
+    def test_cmcd_in_headers_and_query_is_merged(self) -> None:
         keys = cmcd.read(
             {"cmcd-request": "bl=1500,mtp=3200", "cmcd-status": "bs,com.example-x=1"}, 'cid="x",ot=v'
         )
@@ -125,13 +125,13 @@
         self.assertEqual(cmcd.hint("s", keys), PlayerHint("s", 1.5, True, 400.0))
         self.assertIsNone(cmcd.hint("s", {"cid": "x"}))
 
-    def test_cmsd_takes_the_nodes_own_entry(self) -> None:
+    def test_cmsd_of_several_servers_gives_the_nodes_own_entry(self) -> None:
         headers = {cmsd.DYNAMIC: '"origin";etp=8, "n1";etp=800;rtt=2', cmsd.STATIC: "ot=v,br=200"}
         self.assertEqual(cmsd.hint("n1", headers), ServerHint("n1", 100.0))
         self.assertEqual(cmsd.hint("n2", headers), ServerHint("n2", 1.0))
         self.assertIsNone(cmsd.hint("n1", {}))
 
-    def test_faults_name_the_key(self) -> None:
+    def test_malformed_hint_names_the_key(self) -> None:
         for text, key in (
             ("bl=x", "bl"),
             ("bs=1", "bs"),
@@ -245,7 +245,7 @@
         world.end()
 
 
-class Worth(unittest.TestCase):
+class HintValue(unittest.TestCase):
     def test_honest_hints_raise_service_and_false_ones_lower_it_by_few_points(self) -> None:
         arms = {
             "no hints": ("nothing", "none"),
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -12,7 +12,7 @@
 NOW = 20 * SECOND
 
 
-def test_sizes_follow_popularity_times_length() -> None:
+def test_pool_sizes_follow_popularity_times_length() -> None:
     made = controller()
     made.handle(
         NOW,
@@ -28,7 +28,7 @@
     )
 
 
-def test_range_without_hints_gets_nothing_and_all_count_alike_before_any() -> None:
+def test_pool_without_length_hints_gets_nothing_once_there_are_any() -> None:
     made = controller()
     before = made.context.popularity.pool_sizes(made.context.now)
     assert sum(before) == pytest.approx(1.0) and min(before) > 0
@@ -36,7 +36,7 @@
     assert made.context.popularity.pool_sizes(made.context.now) == [1.0, 0.0, 0.0]
 
 
-def test_hints_leave_the_window() -> None:
+def test_length_hints_past_the_window_are_forgotten() -> None:
     made = controller()
     made.handle(NOW, [request("a", NOW, length_us=20e6)])
     made.handle(NOW + POPULARITY_WINDOW_US - 1, [request("b", NOW + POPULARITY_WINDOW_US, length_us=100e6)])
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("hint", [None, 0.0, -5.0, float("nan"), float("inf")])
-def test_invalid_hint_goes_in_the_middle_pool(hint: float | None) -> None:
+def test_session_with_an_invalid_length_hint_is_in_the_middle_pool(hint: float | None) -> None:
     made = controller()
     made.handle(NOW, [request("a", NOW, length_us=hint)])
     assert made.sessions["a"].pool == 1
@@ -62,7 +62,7 @@
     )
 
 
-def test_pools_do_not_bind_on_a_free_link() -> None:
+def test_pools_on_a_free_link_do_not_limit_rungs() -> None:
     made = controller(loads=0.0)
     made.handle(NOW, [request("long", NOW, length_us=300e6, highest_rung=0)])
     # Almost all of the link belongs to the long pool, yet the short session takes the top fitting rung.
@@ -70,7 +70,7 @@
     assert made.sessions["short"].rung == 2
 
 
-def test_short_session_is_kept_out_of_the_long_pool_on_a_busy_link() -> None:
+def test_short_session_on_a_busy_link_is_kept_out_of_the_long_pool() -> None:
     made = controller(loads=0.0)
     made.handle(NOW, [request(f"long{n}", NOW, length_us=300e6, highest_rung=0) for n in range(3)])
     fill(made, 0.82)
@@ -80,7 +80,7 @@
     assert made.sessions["short"].phase is SessionPhase.FORWARDED
 
 
-def test_draws_own_pool_first_then_downward() -> None:
+def test_session_draws_on_its_own_pool_first_and_then_downward() -> None:
     made = controller(count=1, loads=0.0)
     made.handle(NOW, [request("l", NOW, length_us=160e6, highest_rung=2, home_position=3, copies=1)])
     session, server = made.sessions["l"], made.servers["s0"]
@@ -100,7 +100,7 @@
     assert made.placement.fit(session, server, Loads([0.2, 0.2, 0.6], 0.0, 0.0)) is None
 
 
-def test_end_gives_the_draws_back() -> None:
+def test_session_that_ends_returns_its_draws() -> None:
     made = controller(count=1)
     assert place(made, NOW, "a", copies=1) is not None
     made.handle(NOW, [SessionStarted("a", 0, "s0")])
@@ -111,7 +111,7 @@
     assert made.servers["s0"].link.since_kb_per_s == pytest.approx(0.0)
 
 
-def test_resize_leaves_running_sessions_their_room() -> None:
+def test_pools_resized_leave_playing_sessions_their_draws() -> None:
     made = controller(count=1)
     assert place(made, NOW, "a", copies=1) is not None
     draws = list(made.sessions["a"].pool_draws)
@@ -131,7 +131,7 @@
 
 @pytest.mark.parametrize("first", ["note", "start"])
 @pytest.mark.parametrize("load, rung", [(0.3, 2), (1.5, 0)])
-def test_the_first_note_settles_the_rung_whether_it_comes_before_the_start_or_after(
+def test_first_notification_before_or_after_the_start_adjusts_the_rung(
     first: str, load: float, rung: int
 ) -> None:
     """On sockets half of the first notes come ahead of the answer: passed over, they leave full links full."""
@@ -144,7 +144,7 @@
     assert made.sessions["a"].rung == rung
 
 
-def test_unheard_server_counts_as_average_and_bad_readings_are_ignored() -> None:
+def test_server_without_notifications_counts_as_average_and_bad_loads_are_ignored() -> None:
     made = controller(loads=0.5)
     fresh = made.servers["s0"].link
     for bad in (float("nan"), float("inf"), -1.0):
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -32,8 +32,8 @@
 """
 
 
-class Answers(Scenario):
-    def test_late_answers_of_all_attempts_leave_nothing_standing(self) -> None:
+class LateAnswers(Scenario):
+    def test_late_answers_of_all_attempts_are_released(self) -> None:
         """Two servers time out one after the other, then both answer. e0 says something, so that it is not mute."""
         self.play(
             """
@@ -57,8 +57,8 @@
         )
 
 
-class Repeats(Scenario):
-    def test_who_comes_again_under_the_same_name_while_an_attempt_may_run_has_it_run_once(self) -> None:
+class RepeatedRequests(Scenario):
+    def test_request_repeated_while_an_attempt_may_run_runs_once(self) -> None:
         for how in ("close", "close reset"):
             with self.subTest(how):
                 self.play(
@@ -74,7 +74,7 @@
                 """
                 )
 
-    def test_one_that_provably_never_ran_may_come_again(self) -> None:
+    def test_request_repeated_that_provably_never_ran_is_served(self) -> None:
         self.play(
             ASKED
             + """
@@ -91,7 +91,7 @@
         """
         )
 
-    def test_one_that_came_on_another_connection_first_outlives_the_old_one(self) -> None:
+    def test_request_repeated_on_another_connection_outlives_the_old_one(self) -> None:
         self.play(
             ASKED
             + """
@@ -108,7 +108,7 @@
         )
 
 
-class Orders(unittest.TestCase):
+class MessagesOfOneTick(unittest.TestCase):
     """Two items of one tick, in either order."""
 
     def setUp(self) -> None:
@@ -128,7 +128,7 @@
         self.loop.inbox = deque(items)
         self.loop.tick()
 
-    def test_an_answer_ahead_of_the_word_that_its_viewer_left_stands_for_nobody(self) -> None:
+    def test_answer_before_its_viewer_disconnects_is_released(self) -> None:
         viewer = Mock(is_open=True)
         self.play(SessionRequested(request("s", session_class="exam"), viewer=viewer))
         viewer.is_open = False
@@ -140,7 +140,7 @@
         self.assertEqual([each.session for each in self.told if isinstance(each, ViewerDisconnected)], ["s"])
         self.assertEqual((self.loop.sessions.entries, self.loop.sessions.open_request_count), ({}, 0))
 
-    def test_a_copy_goes_on_for_a_connection_that_ends_just_after_it_and_never_for_one_that_stays(
+    def test_duplicate_continues_a_connection_that_ends_just_after_it_and_no_other(
         self,
     ) -> None:
         for gap_us, told in ((0, True), (DUPLICATE_WINDOW_US, True), (DUPLICATE_WINDOW_US + 1, False)):
@@ -160,7 +160,7 @@
             self.play(ViewerConnectionClosed(second))
             self.assertEqual(self.loop.sessions.by_connection, {})
 
-    def test_what_becomes_of_a_copy_s_connection_costs_the_request_nothing(self) -> None:
+    def test_duplicate_whose_connection_ends_leaves_the_request_open(self) -> None:
         first, second, third = (Mock(is_open=True) for _ in range(3))
         self.play(
             *(
@@ -178,7 +178,7 @@
         self.play(EdgeServerReleased("e", "s", TerminationReason.SERVER_ERROR, TerminationReason.FINISHED))
         self.assertEqual((self.loop.sessions.entries, self.loop.sessions.by_connection), ({}, {}))
 
-    def test_a_flood_of_copies_is_looked_at_until_its_connection_is_closed_and_no_further(self) -> None:
+    def test_flood_of_duplicates_is_read_until_its_connection_is_closed(self) -> None:
         """Each would cost a line: some hundred fill the pipe that they go to, and the whole broker waits for it."""
         viewer = Mock(is_open=True)
         viewer.close_with_error = Mock(side_effect=lambda why: setattr(viewer, "is_open", False))
@@ -190,7 +190,7 @@
         viewer.failed.assert_not_called()
         self.assertEqual((self.loop.sessions.entries, self.loop.sessions.by_connection), ({}, {}))
 
-    def test_a_request_and_the_word_that_its_viewer_left_in_one_look_send_nothing(self) -> None:
+    def test_request_whose_viewer_disconnects_in_the_same_tick_sends_nothing(self) -> None:
         viewer = Mock(is_open=True)
         self.play(
             SessionRequested(request("s", session_class="exam"), viewer=viewer),
@@ -199,7 +199,7 @@
         self.edges.start_attempt.assert_not_called()
         self.assertEqual((self.loop.sessions.entries, self.loop.sessions.open_request_count), ({}, 0))
 
-    def test_a_second_answer_and_a_word_of_another_server_change_nothing(self) -> None:
+    def test_second_answer_and_message_of_another_server_change_nothing(self) -> None:
         viewer = Mock(is_open=True)
         self.play(SessionRequested(request("s", session_class="exam"), viewer=viewer))
         self.play(
@@ -214,10 +214,10 @@
         self.assertTrue(self.loop.sessions.entries["s"].is_playing)
 
 
-class Decisions(unittest.TestCase):
+class RetryDecisions(unittest.TestCase):
     """What of this the core alone rules out."""
 
-    def test_no_session_goes_to_one_server_twice(self) -> None:
+    def test_session_is_never_forwarded_to_one_server_twice(self) -> None:
         made = controller(count=1)
         now = 20 * SECOND
         sent = of(made.handle(now, [request("a", now, copies=1)]), ForwardAttempt)
@@ -230,7 +230,7 @@
             sent += of(made.handle(now + again * SECOND // 2, told), ForwardAttempt)
         self.assertEqual([each.server for each in sent], ["s0"])
 
-    def test_what_may_have_run_is_sent_again_for_no_class_but_the_safe_one(self) -> None:
+    def test_attempt_that_may_have_run_is_retried_for_the_idempotent_class_alone(self) -> None:
         cases = (
             (RetrySafety.IDEMPOTENT, 1),
             (RetrySafety.KEYED, 0),
@@ -262,8 +262,8 @@
             )
 
 
-class Attempts(unittest.TestCase):
-    def test_what_is_unsettled_is_kept_by_server_and_forgotten_in_time(self) -> None:
+class IndeterminateAttemptsTable(unittest.TestCase):
+    def test_indeterminate_attempts_are_kept_by_server_and_forgotten_in_time(self) -> None:
         made = IndeterminateAttempts()
         made.add("s", "a", 1)
         made.add("s", "b", 2)
--- a/tests/test_routing_faults.py
+++ b/tests/test_routing_faults.py
@@ -17,10 +17,10 @@
 )
 
 
-class Faults(unittest.TestCase):
+class DispatcherFaults(unittest.TestCase):
     """A fault inside the program costs what it is about, and nothing else."""
 
-    def test_one_bad_item_does_not_cost_the_others(self) -> None:
+    def test_message_that_fails_leaves_the_others_served(self) -> None:
         said: list[str] = []
 
         class Module:
--- a/tests/test_routing_termination.py
+++ b/tests/test_routing_termination.py
@@ -10,8 +10,8 @@
 from lotuspick.routing.termination import ATTEMPT_OUTCOMES, TerminationReason
 
 
-class Endings(unittest.TestCase):
-    def test_every_ending_has_an_outcome_and_only_proof_counts_as_proof(self) -> None:
+class TerminationReasons(unittest.TestCase):
+    def test_each_reason_has_an_outcome_and_only_proof_counts_as_proof(self) -> None:
         self.assertEqual(set(ATTEMPT_OUTCOMES), set(TerminationReason))
         proofs = {
             ending.name for ending, outcome in ATTEMPT_OUTCOMES.items() if outcome in PROVES_NOT_EXECUTED
--- a/tests/test_rtsp_messages.py
+++ b/tests/test_rtsp_messages.py
@@ -32,8 +32,8 @@
     return decoder.body(body) if lengths[-1] is not None else None
 
 
-class Rtsp(unittest.TestCase):
-    def test_a_set_up(self) -> None:
+class RtspMessages(unittest.TestCase):
+    def test_set_up_is_decoded(self) -> None:
         message = decode(HEAD, b"abc")
         assert message is not None
         asked = rtsp.read_set_up(message, 1_000_000, TERMS)
@@ -46,7 +46,7 @@
         self.assertTrue(request.returned)
         self.assertEqual(asked.description, b"abc")
 
-    def test_each_bad_field_is_named(self) -> None:
+    def test_set_up_with_a_bad_field_names_it(self) -> None:
         for good, bad, fault in (
             (b"Session: " + ID.encode(), b"Session: 12", "Session"),
             (b"P-Time-Left: 1500", b"P-Time-Left: -1", "P-Time-Left"),
@@ -63,20 +63,20 @@
                 assert message is not None
                 rtsp.read_set_up(message, 0, TERMS)
 
-    def test_a_hint_that_makes_no_sense_is_none(self) -> None:
+    def test_length_hint_that_makes_no_sense_is_none(self) -> None:
         for text in (b"nan", b"-1", b"long", b"inf", b"0"):
             message = decode([line.replace(b"8200.0", text) for line in HEAD], b"abc")
             assert message is not None
             self.assertIsNone(rtsp.read_set_up(message, 0, TERMS).request.length_us)
 
-    def test_nobody_is_waited_for_for_hours(self) -> None:
+    def test_time_left_of_hours_is_bounded(self) -> None:
         message = decode([line.replace(b"1500", b"86400000") for line in HEAD], b"abc")
         assert message is not None
         self.assertEqual(
             rtsp.read_set_up(message, 0, TERMS).request.deadline_us, rtsp.MAX_DEADLINE_MS * 1_000
         )
 
-    def test_what_no_edge_message_could_hold_is_turned_away_at_the_door(self) -> None:
+    def test_set_up_too_long_for_an_edge_message_is_rejected(self) -> None:
         for size, good in ((MOST_BYTES - 300, True), (MOST_BYTES - 200, False)):
             message = rtsp.Message(
                 "SETUP",
@@ -99,7 +99,7 @@
                 with self.assertRaisesRegex(ProtocolError, "too long"):
                     rtsp.read_set_up(message, 0, TERMS)
 
-    def test_the_bound_holds_for_heads_and_bodies(self) -> None:
+    def test_size_limit_holds_for_heads_and_bodies(self) -> None:
         for lines in (
             [HEAD[0], *(b"h%d: %s" % (n, b"x" * 1_000) for n in range(20))],
             [*HEAD[:7], b"Content-Length: %d" % MOST_BYTES, b""],
@@ -109,7 +109,7 @@
                 decode(lines, b"")
 
     @given(st.lists(st.one_of(st.sampled_from(HEAD), st.binary(max_size=60))))
-    def test_any_lines(self, lines: list[bytes]) -> None:
+    def test_any_lines_are_decoded_or_rejected(self, lines: list[bytes]) -> None:
         decoder = rtsp.Decoder()
         try:
             for line in lines:
@@ -119,7 +119,7 @@
         except ProtocolError as fault:
             self.assertTrue(str(fault))
 
-    def test_phrases_cannot_break_the_head(self) -> None:
+    def test_reason_phrase_with_line_breaks_stays_on_its_line(self) -> None:
         text = rtsp.response(400, "1", ID, why="a\r\nSession: other\x00\u20ac")
         self.assertEqual(text.count(b"\r\n"), 5)
         self.assertTrue(text.startswith(b"RTSP/1.0 400 a Session: other"))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -26,7 +26,7 @@
 from lotuspick.core.state import SessionPhase
 
 NOW = 20 * SECOND
-NEVER_RAN = {"full", "unreachable", "unsent"}
+NOT_EXECUTED_OUTCOMES = {"full", "unreachable", "unsent"}
 OUTCOMES = ["served", "error", "full", "timeout", "unreachable", "lost", "cancelled", "unsent"]
 CLASSES = [
     ClassSettings("clip", SECOND, title_session_limit=3, lowest_rung=1),
@@ -35,7 +35,7 @@
 ]
 
 
-class Ledger:
+class RuleChecker:
     """Plays the world's side of one gateway and checks each action against the rules."""
 
     def __init__(self, made: Controller) -> None:
@@ -51,7 +51,7 @@
             if isinstance(event, AttemptEnded):
                 state = self.open[event.session]
                 state["out"] = None
-                state["ran"] |= event.outcome not in NEVER_RAN
+                state["ran"] |= event.outcome not in NOT_EXECUTED_OUTCOMES
                 state["answered"] |= event.final
             elif isinstance(event, SessionStarted):
                 self.open[event.session]["answered"] = True
@@ -112,7 +112,7 @@
     made = controller(
         classes=CLASSES, retry_budget_floor=2, retry_budget_ratio=0.2, retry_budget_window_us=5 * SECOND
     )
-    world = Ledger(made)
+    world = RuleChecker(made)
     for number in range(data.draw(st.integers(5, 40))):
         then = world.now + data.draw(st.sampled_from([0, 10_000, 100_000, 700_000]))
         while world.timers and min(world.timers)[0] < then:
@@ -192,14 +192,14 @@
     assert all(state["answered"] or state["gone"] for state in world.open.values())
 
 
-def test_paid_session_is_failed_not_refused_once_it_may_have_run() -> None:
+def test_paid_session_that_may_have_run_is_failed_not_rejected() -> None:
     made = controller()
     server, _ = place(made, NOW, "p", session_class="exam") or ("", 0)
     actions = made.handle(NOW + 1, [AttemptEnded("p", 0, server, "timeout")])
     assert of(actions, FailSession) and not of(actions, ForwardAttempt) and not of(actions, RejectSession)
 
 
-def test_paid_session_is_sent_again_when_it_provably_never_ran() -> None:
+def test_paid_session_that_provably_never_ran_is_retried() -> None:
     made = controller()
     server, _ = place(made, NOW, "p", session_class="exam") or ("", 0)
     sends = of(made.handle(NOW + 1, [AttemptEnded("p", 0, server, "unreachable")]), ForwardAttempt)
@@ -207,7 +207,7 @@
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
-def test_nothing_new_after_a_drain_is_heard(state: str) -> None:
+def test_server_known_to_drain_gets_nothing_new(state: str) -> None:
     made = controller(count=1)
     made.handle(NOW, [ServerListUpdate([entry(0, state=state)])])
     assert place(made, NOW, "a", copies=1) is None
@@ -222,7 +222,7 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 9])
-def test_cold_server_gets_this_gateways_part_in_any_window(gateways: int) -> None:
+def test_warming_up_server_gets_this_brokers_share_in_any_window(gateways: int) -> None:
     made = controller(count=1, brokers=gateways, link_kb_per_weight=1e6, stream_limit_by_kind={"box": 60})
     made.handle(NOW, [ServerListUpdate([entry(0, started_us=NOW)])])
     sent, now = [], NOW
@@ -239,7 +239,7 @@
 
 @profile(derandomize=True, max_examples=8, deadline=None)
 @given(st.integers(2, 60), st.integers(0, 1000), st.sampled_from(["told", "failed", "failed, then told"]))
-def test_all_gateways_together_keep_the_budget_of_a_started_server(
+def test_all_brokers_together_keep_the_slow_start_budget_of_a_server(
     gateways: int, seed: int, how: str
 ) -> None:
     """Every gateway wants the server at once, again and again, through its whole warm-up."""
@@ -264,7 +264,7 @@
     assert most <= budget + 3 * budget**0.5  # slack for chance
 
 
-def test_failure_witnessed_is_a_start_expected() -> None:
+def test_server_whose_failure_was_seen_is_expected_to_start() -> None:
     made = controller(count=1, link_kb_per_weight=1e6, brokers=3)
     place(made, NOW, "a", copies=1)
     made.handle(NOW, [SessionStarted("a", 0, "s0")])
@@ -274,7 +274,7 @@
     assert 0 < sum(result is not None for result in results) <= 2
 
 
-def test_sessions_at_the_start_take_seats() -> None:
+def test_sessions_that_play_at_the_start_count_for_the_title_session_limit() -> None:
     made = controller(count=1, classes=[ClassSettings("clip", SECOND, title_session_limit=1)])
     base = request("old", NOW)
     made.handle(
@@ -303,7 +303,7 @@
     assert made.sessions["a"].phase is SessionPhase.FORWARDED
 
 
-def test_refused_after_a_hold_within_the_aim() -> None:
+def test_request_without_capacity_is_rejected_within_the_latency_objective() -> None:
     made = controller(loads=1.5)
     actions = made.handle(NOW, [request("a", NOW)])
     assert not of(actions, RejectSession)
@@ -315,7 +315,7 @@
     assert of(made.handle(NOW + due, [TimerFired(token)]), RejectSession)
 
 
-def test_unknown_class_is_refused_before_anything_is_applied() -> None:
+def test_request_of_an_unknown_class_raises_before_anything_is_applied() -> None:
     made = controller()
     with pytest.raises(ValueError, match="nosuch"):
         made.handle(NOW, [request("a", NOW), request("b", NOW, session_class="nosuch")])
@@ -341,12 +341,12 @@
         {"link_kb_per_weight": -1},
     ],
 )
-def test_bad_settings_are_named(change: dict) -> None:
+def test_bad_settings_name_the_key(change: dict) -> None:
     with pytest.raises(ValueError, match=next(iter(change))):
         settings(**change)
 
 
-def test_titles_spread_over_holders() -> None:
+def test_sessions_of_titles_spread_over_their_holders() -> None:
     made = controller()
     used = defaultdict(int)
     for n in range(12):
--- a/tests/test_scenario_http.py
+++ b/tests/test_scenario_http.py
@@ -5,7 +5,7 @@
 from scenario import Scenario
 
 
-class SecondFront(Scenario):
+class HttpSessions(Scenario):
     SERVED = """
         p1 send SETUP s1 kind=exam body=offer CMCD-Request=bl=2000
         n0 expect SETUP s1 class=exam title=aa00 rung=1 body=offer
@@ -13,7 +13,7 @@
         p1 expect 200 body=answer
     """
 
-    def test_a_session_from_set_up_to_its_end(self) -> None:
+    def test_session_ended_by_its_node_is_reported_to_its_player(self) -> None:
         self.play(
             self.SERVED
             + """
@@ -29,7 +29,7 @@
             n0="up",
         )
 
-    def test_both_fronts_share_edges_and_rules(self) -> None:
+    def test_http_and_rtsp_share_servers_and_rules(self) -> None:
         self.play(
             """
             p1 send SETUP s1 kind=exam body=offer
@@ -48,7 +48,7 @@
             e0="up",
         )
 
-    def test_refusals_say_when_to_come_back(self) -> None:
+    def test_rejection_says_when_to_come_back(self) -> None:
         self.play(
             """
             p1 send SETUP s1 home=3 left=800
@@ -60,7 +60,7 @@
             n0="up",
         )
 
-    def test_bad_input_is_400_with_the_key(self) -> None:
+    def test_bad_input_is_answered_400_with_the_key(self) -> None:
         self.play(
             """
             p1 send SETUP s1 kind=nosuch
@@ -78,7 +78,7 @@
             n0="up",
         )
 
-    def test_a_player_that_leaves_gives_its_set_up_up(self) -> None:
+    def test_player_that_leaves_has_its_set_up_cancelled(self) -> None:
         self.play(
             """
             p1 send SETUP s1 kind=exam
@@ -90,7 +90,7 @@
             n0="up",
         )
 
-    def test_a_node_that_turns_away_or_fails(self) -> None:
+    def test_node_that_rejects_or_fails_is_answered_so(self) -> None:
         self.play(
             """
             p1 send SETUP s1 kind=exam left=1500
--- a/tests/test_scenario_input.py
+++ b/tests/test_scenario_input.py
@@ -5,14 +5,14 @@
 from scenario import PLAYING, Scenario
 
 
-class Bounds(Scenario):
-    SET_UP = (
+class InputLimits(Scenario):
+    SET_UP_TEMPLATE = (
         b"SETUP rtsp://media/aa00 RTSP/1.0\r\nCSeq: 1\r\nSession: 000000000000000%d\r\nP-Kind: exam\r\n"
         b"P-Time-Left: 5000\r\nP-Path: home:0;copies:1;top:2\r\nContent-Length: 4\r\n\r\nof\r\n"
     )
 
-    def test_messages_may_come_in_pieces_and_together(self) -> None:
-        both = self.SET_UP % 1 + self.SET_UP % 2
+    def test_messages_in_pieces_and_together_are_read(self) -> None:
+        both = self.SET_UP_TEMPLATE % 1 + self.SET_UP_TEMPLATE % 2
         cuts = (0, 3, 33, 95, len(both) // 2 - 1, len(both) // 2 + 1, len(both))
         pieces = "\n".join(
             f"v1 send RAW {both[start:end]!r}\nv1 wait 0.02"
@@ -31,7 +31,7 @@
         """
         )
 
-    def test_a_crowd_of_viewers_that_ask_once_leaves_the_shared_connection_open(self) -> None:
+    def test_many_viewers_with_one_request_leave_a_shared_connection_open(self) -> None:
         """The release of a session whose connection had to go comes where many sessions were set up."""
         crowd = "\n".join(f"v{each} send SETUP s{each} kind=clip at=e0" for each in range(10, 40))
         self.play(
@@ -57,7 +57,7 @@
             limits={"sockets": 64},
         )
 
-    def test_viewers_keep_to_half_of_the_descriptors(self) -> None:
+    def test_viewer_connections_keep_to_half_of_the_descriptors(self) -> None:
         crowd, more = (
             "\n".join(f"v{each} send OPTIONS\nv{each} expect 200" for each in numbers)
             for numbers in (range(10, 41), range(41, 50))
@@ -83,7 +83,7 @@
             limits={"sockets": 64},
         )
 
-    def test_a_viewer_whose_request_waits_unread_is_not_closed_for_a_newcomer(self) -> None:
+    def test_viewer_with_an_unread_request_is_not_closed_for_a_newcomer(self) -> None:
         crowd = "\n".join(f"v{each} send OPTIONS\nv{each} expect 200" for each in range(10, 41))
         self.play(
             """
@@ -107,8 +107,8 @@
         )
 
 
-class Malformed(Scenario):
-    def test_bad_framing_costs_the_connection_and_no_more(self) -> None:
+class MalformedInput(Scenario):
+    def test_bad_framing_closes_its_connection_alone(self) -> None:
         for raw in (
             b"NONSENSE\r\n",
             b"\xff\xfe\r\n",
@@ -126,7 +126,7 @@
                     v2 expect 200
                 """)
 
-    def test_a_bad_field_is_named_and_costs_its_request_alone(self) -> None:
+    def test_bad_field_is_named_and_rejects_its_request_alone(self) -> None:
         self.play("""
             v1 send SETUP s1 kind=nosuch
             v1 expect 400 s1 reason=~P-Kind
@@ -144,7 +144,7 @@
             v2 expect 200
         """)
 
-    def test_who_says_nothing_or_half_a_message_is_closed_soon(self) -> None:
+    def test_connection_with_no_complete_message_is_closed_soon(self) -> None:
         for raw in (
             b"",
             b"\r\n",
@@ -163,8 +163,8 @@
             v1 expect CLOSED
         """)
 
-    def test_who_asks_wrongly_again_and_again_is_read_slowly(self) -> None:
-        bad = self.WRONG * 5
+    def test_connection_with_many_bad_requests_is_read_slowly(self) -> None:
+        bad = self.BAD_SET_UP * 5
         self.play(f"""
             v1 send RAW {bad!r}
             v1 expect 400 reason=~P-Kind
@@ -176,12 +176,12 @@
             v1 expect 400 reason=~P-Kind
         """)
 
-    WRONG = (
+    BAD_SET_UP = (
         b"SETUP rtsp://media/aa00 RTSP/1.0\r\nCSeq: 1\r\nSession: 0000000000000001\r\nP-Kind: none\r\n"
         b"Content-Length: 0\r\n\r\n"
     )
 
-    def test_an_edge_that_breaks_the_framing_loses_its_connection(self) -> None:
+    def test_edge_server_with_bad_framing_loses_its_connection(self) -> None:
         for raw in (b"\x00\x03\x09ab", b"\xff\xff", b"\x00\x0c\x09" + bytes(8) + b"\x82\x00\x09"):
             with self.subTest(raw):
                 self.play(
--- a/tests/test_scenario_servers.py
+++ b/tests/test_scenario_servers.py
@@ -5,8 +5,8 @@
 from scenario import PLAYING, Scenario
 
 
-class Silence(Scenario):
-    def test_a_machine_that_takes_no_connection_is_unreachable(self) -> None:
+class UnresponsiveServersAndCoordinators(Scenario):
+    def test_server_that_takes_no_connection_is_unreachable(self) -> None:
         self.play(
             """
             v1 send SETUP s1 kind=exam left=2500
@@ -15,7 +15,7 @@
             e0="silent",
         )
 
-    def test_a_process_that_dies_ends_its_sessions(self) -> None:
+    def test_server_whose_process_dies_has_its_sessions_ended(self) -> None:
         self.play(
             PLAYING
             + """
@@ -24,7 +24,7 @@
         """
         )
 
-    def test_a_reset_connection_does_not_end_what_stands_at_a_process_that_lives(self) -> None:
+    def test_server_connection_reset_while_its_process_lives_keeps_its_sessions(self) -> None:
         self.play(
             PLAYING
             + """
@@ -42,7 +42,7 @@
         """
         )
 
-    def test_a_start_told_by_the_coordinator_ends_what_stood_before_it(self) -> None:
+    def test_server_start_reported_by_the_coordinator_ends_its_earlier_sessions(self) -> None:
         self.play(
             PLAYING
             + """
@@ -51,7 +51,7 @@
         """
         )
 
-    def test_a_machine_that_vanishes_ends_its_sessions(self) -> None:
+    def test_server_whose_machine_vanishes_has_its_sessions_ended(self) -> None:
         self.play(
             PLAYING
             + """
@@ -60,7 +60,7 @@
         """
         )
 
-    def test_a_set_up_that_times_out_has_its_machine_checked(self) -> None:
+    def test_set_up_that_times_out_has_its_server_checked(self) -> None:
         self.play(
             PLAYING
             + """
@@ -73,7 +73,7 @@
         """
         )
 
-    def test_a_slow_edge_that_is_there_keeps_its_set_ups_and_sessions(self) -> None:
+    def test_server_that_is_slow_but_alive_keeps_its_set_ups_and_sessions(self) -> None:
         self.play(
             PLAYING
             + """
@@ -90,7 +90,7 @@
         """
         )
 
-    def test_an_address_that_went_to_another_is_not_dialled_for_the_old_id(self) -> None:
+    def test_address_given_to_another_server_is_not_dialled_for_the_old_one(self) -> None:
         self.play("""
             c send e1 state=up address=e0
             c send e0 state=gone
@@ -102,7 +102,7 @@
             e0 expect SETUP s2
         """)
 
-    def test_an_id_that_moves_ends_there_what_is_open_there(self) -> None:
+    def test_server_that_moves_ends_its_open_set_ups_at_the_old_address(self) -> None:
         self.play(
             """
             v1 send SETUP s1 kind=exam
@@ -123,7 +123,7 @@
             e1="up",
         )
 
-    def test_nothing_new_goes_to_a_server_that_drains(self) -> None:
+    def test_server_that_drains_gets_no_new_session(self) -> None:
         self.play(
             PLAYING
             + """
@@ -134,7 +134,7 @@
         """
         )
 
-    def test_a_malformed_update_does_not_hold_up_the_feed(self) -> None:
+    def test_endpoint_watch_after_a_malformed_update_goes_on(self) -> None:
         self.play("""
             c send e0 state=nonsense
             c send e0 state=draining
@@ -143,7 +143,7 @@
             v1 expect 453 s1
         """)
 
-    def test_a_quiet_coordinator_is_asked_again_with_the_last_index(self) -> None:
+    def test_endpoint_watch_of_a_quiet_coordinator_asks_again_from_the_last_index(self) -> None:
         self.play("""
             c close quiet
             c expect ASKED follow=1
@@ -152,7 +152,7 @@
             v1 expect 200
         """)
 
-    def test_a_coordinator_that_stops_mid_event_is_asked_again(self) -> None:
+    def test_endpoint_watch_cut_off_in_an_update_asks_again(self) -> None:
         self.play("""
             c close 40
             c send e0 state=draining
@@ -162,10 +162,10 @@
         """)
 
 
-class Spoilt(Scenario):
+class MalformedAnswers(Scenario):
     """Good answers that come spoilt, or with more than is theirs."""
 
-    def test_a_second_copy_does_not_cut_what_stands(self) -> None:
+    def test_second_answer_leaves_the_session_playing(self) -> None:
         self.play(
             PLAYING
             + """
@@ -176,7 +176,7 @@
         """
         )
 
-    def test_an_answer_under_an_unknown_id_is_dropped(self) -> None:
+    def test_answer_for_an_unknown_session_is_dropped(self) -> None:
         self.play("""
             v1 send SETUP s1 kind=exam
             e0 expect OPENED
@@ -187,7 +187,7 @@
             e0 expect NOTHING
         """)
 
-    def test_what_may_stand_after_a_spoilt_answer_is_released_and_all_else_goes_on(self) -> None:
+    def test_malformed_answer_has_open_set_ups_released_and_all_else_goes_on(self) -> None:
         heard = b"\x00\x09\x10" + bytes(8)  # a whole message, so that the connection is not mute
         for raw in (heard + b"\x00\x20\x09half", b"\x00\x0b\xee" + bytes(10), b"\xff\xff\x09"):
             with self.subTest(raw):
@@ -210,7 +210,7 @@
                 """
                 )
 
-    def test_what_is_safe_to_repeat_is_refused_not_failed_after_a_spoilt_answer(self) -> None:
+    def test_malformed_answer_rejects_an_idempotent_set_up(self) -> None:
         self.play(
             PLAYING
             + f"""
@@ -221,7 +221,7 @@
         """
         )
 
-    def test_a_mute_connection_is_replaced_before_its_set_ups_run_out_of_time(self) -> None:
+    def test_unresponsive_connection_is_replaced_before_its_set_ups_time_out(self) -> None:
         self.play("""
             v1 send SETUP s1 kind=exam left=4000
             e0 expect OPENED
--- a/tests/test_scenario_sessions.py
+++ b/tests/test_scenario_sessions.py
@@ -5,8 +5,8 @@
 from scenario import PLAYING, Scenario
 
 
-class Sessions(Scenario):
-    def test_a_session_from_set_up_to_its_end(self) -> None:
+class SessionLifecycle(Scenario):
+    def test_session_ended_by_its_server_is_torn_down_at_its_viewer(self) -> None:
         self.play(
             PLAYING
             + """
@@ -15,13 +15,13 @@
         """
         )
 
-    def test_options_are_answered_when_ready(self) -> None:
+    def test_options_when_ready_are_answered(self) -> None:
         self.play("""
             v1 send OPTIONS
             v1 expect 200 cseq=3
         """)
 
-    def test_a_teardown_may_come_on_any_connection(self) -> None:
+    def test_teardown_on_another_connection_ends_the_session(self) -> None:
         self.play(
             PLAYING
             + """
@@ -33,7 +33,7 @@
         """
         )
 
-    def test_a_session_outlives_its_viewer_connection(self) -> None:
+    def test_session_whose_viewer_connection_closes_plays_on(self) -> None:
         self.play(
             PLAYING
             + """
@@ -45,7 +45,7 @@
         """
         )
 
-    def test_a_session_outlives_its_edge_connection(self) -> None:
+    def test_session_whose_edge_connection_closes_plays_on(self) -> None:
         self.play(
             PLAYING
             + """
@@ -57,7 +57,7 @@
         """
         )
 
-    def test_what_plays_already_is_taken_over_without_an_answer(self) -> None:
+    def test_playing_session_handed_over_is_adopted_without_an_answer(self) -> None:
         self.play("""
             v1 send SETUP s7 kind=clip at=e0
             e0 expect OPENED
@@ -67,15 +67,15 @@
             v1 expect TEARDOWN s7 why=cause=41
         """)
 
-    def test_a_session_handed_over_at_an_unknown_server_is_released(self) -> None:
+    def test_playing_session_handed_over_at_an_unknown_server_is_released(self) -> None:
         self.play("""
             v1 send SETUP s7 kind=clip at=e9
             v1 expect TEARDOWN s7 why=cause=41
         """)
 
 
-class SetUps(Scenario):
-    def test_closing_gives_up_open_set_ups_alone(self) -> None:
+class SessionSetUps(Scenario):
+    def test_viewer_connection_closed_cancels_open_set_ups_alone(self) -> None:
         self.play(
             PLAYING
             + """
@@ -87,7 +87,7 @@
         """
         )
 
-    def test_an_answer_that_crosses_the_give_up_leaves_nothing_standing(self) -> None:
+    def test_answer_that_crosses_the_cancellation_is_released(self) -> None:
         self.play("""
             v1 send SETUP s1 kind=exam
             e0 expect OPENED
@@ -100,7 +100,7 @@
             v1 expect NOTHING
         """)
 
-    def test_paid_goes_on_only_after_proof_that_it_never_ran(self) -> None:
+    def test_paid_set_up_that_provably_never_ran_is_retried(self) -> None:
         self.play(
             """
             v1 send SETUP s1 kind=exam copies=2
@@ -113,7 +113,7 @@
             e1="up",
         )
 
-    def test_paid_that_may_have_run_fails(self) -> None:
+    def test_paid_set_up_that_may_have_run_fails(self) -> None:
         for how in (
             "e0 send RELEASE s1 cause=47",
             "e0 send RELEASE s1 cause=41",
@@ -129,7 +129,7 @@
                     v1 expect 500 s1 cseq=1
                 """)
 
-    def test_full_is_refused_not_failed(self) -> None:
+    def test_set_up_at_a_full_server_is_rejected_not_failed(self) -> None:
         self.play("""
             v1 send SETUP s1 kind=exam left=1500
             e0 expect OPENED
@@ -138,7 +138,7 @@
             v1 expect 453 s1
         """)
 
-    def test_no_answer_fails_in_time(self) -> None:
+    def test_set_up_without_an_answer_fails_in_time(self) -> None:
         self.play("""
             v1 send SETUP s1 kind=exam left=700
             e0 expect OPENED
@@ -147,13 +147,13 @@
             e0 expect RELEASE s1 cause=16
         """)
 
-    def test_a_title_nobody_holds_is_refused(self) -> None:
+    def test_set_up_of_a_title_that_no_server_holds_is_rejected(self) -> None:
         self.play("""
             v1 send SETUP s1 home=3 left=800
             v1 expect 453 s1 cseq=1 gap=1000
         """)
 
-    def test_a_set_up_sent_again_after_a_close_is_one_request(self) -> None:
+    def test_set_up_sent_again_after_a_close_is_one_request(self) -> None:
         self.play("""
             v1 send SETUP s1 kind=exam
             e0 expect OPENED
@@ -169,7 +169,7 @@
             v2 expect 200 s1 body=x
         """)
 
-    def test_a_copy_sent_by_a_stranger_takes_no_answer_from_whom_it_is_due(self) -> None:
+    def test_duplicate_request_of_another_viewer_takes_no_answer_from_the_first(self) -> None:
         """It floods, and leaves; and whoever asked first hears the one answer."""
         copy = (
             b"SETUP rtsp://media/aa00 RTSP/1.0\r\nCSeq: 1\r\nSession: 0000000000000001\r\nP-Kind: exam\r\n"
@@ -198,7 +198,7 @@
                     v1 expect TEARDOWN s1 why=cause=16
                 """)
 
-    def test_a_stranger_does_not_get_the_answer_to_an_open_id(self) -> None:
+    def test_request_of_another_viewer_under_an_open_number_gets_no_answer(self) -> None:
         self.play("""
             v1 send SETUP s1 kind=exam body=mine
             e0 expect OPENED
@@ -210,7 +210,7 @@
             v2 expect NOTHING
         """)
 
-    def test_two_requests_under_one_number_cost_their_sender_the_connection(self) -> None:
+    def test_two_requests_under_one_number_on_one_connection_close_it(self) -> None:
         self.play("""
             v1 send SETUP s1 kind=exam
             e0 expect OPENED
@@ -222,8 +222,8 @@
         """)
 
 
-class Reloading(Scenario):
-    def test_sighup_moves_to_the_new_coordinator_and_keeps_all_else(self) -> None:
+class ConfigurationReloads(Scenario):
+    def test_reload_with_a_new_coordinator_follows_it_and_keeps_sessions(self) -> None:
         self.play(
             PLAYING
             + """
@@ -239,7 +239,7 @@
         """
         )
 
-    def test_a_bad_file_is_logged_and_the_old_one_kept(self) -> None:
+    def test_reload_of_a_bad_file_keeps_the_old_configuration(self) -> None:
         self.play(
             PLAYING
             + """
@@ -254,8 +254,8 @@
         )
 
 
-class Stopping(Scenario):
-    def test_sigterm_answers_what_is_owed_and_exits(self) -> None:
+class GracefulShutdown(Scenario):
+    def test_sigterm_with_open_set_ups_answers_them_and_exits(self) -> None:
         self.play("""
             v1 send SETUP s1 kind=exam left=3000
             e0 expect OPENED
@@ -271,7 +271,7 @@
             b expect EXIT code=0
         """)
 
-    def test_sessions_that_stand_are_released_on_both_sides_at_the_end(self) -> None:
+    def test_sigterm_with_playing_sessions_releases_them_on_both_sides(self) -> None:
         self.play(
             PLAYING
             + """
@@ -283,7 +283,7 @@
         """
         )
 
-    def test_what_stands_plays_on_for_as_long_as_a_planned_end_leaves(self) -> None:
+    def test_sigterm_leaves_playing_sessions_the_drain_grace(self) -> None:
         self.play(
             PLAYING
             + """
@@ -297,7 +297,7 @@
         """
         )
 
-    def test_sigterm_with_nothing_owed(self) -> None:
+    def test_sigterm_without_sessions_exits(self) -> None:
         self.play("""
             b send TERM
             b expect EXIT code=0
--- a/tests/test_seam.py
+++ b/tests/test_seam.py
@@ -27,7 +27,7 @@
 ).map(lambda each: each if each.reason else PlacementConstraint(each.servers, each.highest_rung, each.costs))
 
 
-class Scripted:
+class ScriptedProvider:
     """A guide that says what the test wants and keeps what it is told."""
 
     max_wait_us = 0
@@ -43,16 +43,18 @@
         self.heard.append(type(fact).__name__)
 
 
-def guided(*answers: PlacementConstraint, **changes: Any) -> tuple[Controller, Scripted]:
-    guide = Scripted(*answers)
+def constrained_controller(
+    *answers: PlacementConstraint, **changes: Any
+) -> tuple[Controller, ScriptedProvider]:
+    guide = ScriptedProvider(*answers)
     made = Controller(settings(retry_after_allowed=True, max_retry_after_us=9 * SECOND, **changes), 7, guide)
     made.handle(0, [servers()])
     return made, guide
 
 
-class Meet(unittest.TestCase):
+class ConstraintIntersection(unittest.TestCase):
     @given(BOUNDS, BOUNDS, BOUNDS)
-    def test_order_does_not_matter_and_nothing_widens(
+    def test_intersection_in_any_order_is_equal_and_never_wider(
         self, one: PlacementConstraint, two: PlacementConstraint, three: PlacementConstraint
     ) -> None:
         both = one.intersect(two)
@@ -70,9 +72,9 @@
                 self.assertGreaterEqual(both.costs.get(name, 0.0), each.costs.get(name, 0.0))
 
 
-class Asked(unittest.TestCase):
-    def test_only_admitted_servers_are_used_again_and_again(self) -> None:
-        made, guide = guided(PlacementConstraint(frozenset({"s1", "s2"})))
+class ConstraintProviders(unittest.TestCase):
+    def test_attempts_go_to_admitted_servers_alone(self) -> None:
+        made, guide = constrained_controller(PlacementConstraint(frozenset({"s1", "s2"})))
         sent = []
         for outcome in ("unreachable", "unreachable"):
             actions = made.handle(
@@ -88,8 +90,8 @@
             guide.heard[:4], ["ServerListUpdate", "SessionRequest", "ForwardAttempt", "AttemptEnded"]
         )
 
-    def test_the_facts_may_change_between_attempts(self) -> None:
-        made, guide = guided(
+    def test_constraint_that_changes_between_attempts_holds_for_the_next(self) -> None:
+        made, guide = constrained_controller(
             PlacementConstraint(frozenset({"s1"})),
             PlacementConstraint(reason="moved-on", retry_after_us=3 * SECOND),
         )
@@ -100,37 +102,39 @@
         self.assertEqual(refusal, [RejectSession("a", 3 * SECOND, "moved-on")])
         self.assertEqual(guide.heard[-1], "RejectSession")
 
-    def test_a_paid_attempt_that_may_have_run_is_never_turned_away(self) -> None:
-        made, guide = guided(UNCONSTRAINED, PlacementConstraint(reason="budget", retry_after_us=SECOND))
+    def test_paid_attempt_that_may_have_run_is_never_rejected(self) -> None:
+        made, guide = constrained_controller(
+            UNCONSTRAINED, PlacementConstraint(reason="budget", retry_after_us=SECOND)
+        )
         server = of(made.handle(NOW, [request("a", NOW, session_class="exam")]), ForwardAttempt)[0].server
         self.assertEqual(
             of(made.handle(NOW, [AttemptEnded("a", 0, server, "lost")]), FailSession), [FailSession("a")]
         )
         self.assertEqual(guide.asked, 1)
 
-    def test_a_refusal_is_at_once_and_no_longer_than_viewers_honour(self) -> None:
-        made, _ = guided(PlacementConstraint(reason="part", retry_after_us=60 * SECOND))
+    def test_rejection_comes_at_once_with_a_bounded_retry_after(self) -> None:
+        made, _ = constrained_controller(PlacementConstraint(reason="part", retry_after_us=60 * SECOND))
         self.assertEqual(
             of(made.handle(NOW, [request("a", NOW)]), RejectSession), [RejectSession("a", 9 * SECOND, "part")]
         )
         self.assertFalse(made.sessions or made.queued)
 
-    def test_a_top_below_the_floor_counts_as_the_floor(self) -> None:
-        made, _ = guided(
+    def test_highest_rung_below_the_lowest_counts_as_the_lowest(self) -> None:
+        made, _ = constrained_controller(
             PlacementConstraint(highest_rung=0),
             classes=[ClassSettings("clip", SECOND, lowest_rung=2)],
             link_kb_per_weight=9_000.0,
         )
         self.assertEqual(of(made.handle(NOW, [request("a", NOW)]), SetRung)[0].rung, 2)
 
-    def test_costs_order_servers_of_one_rung(self) -> None:
-        made, _ = guided(PlacementConstraint(costs={"s0": 9.0, "s1": 9.0, "s3": 9.0}))
+    def test_costs_of_servers_order_them_within_a_rung(self) -> None:
+        made, _ = constrained_controller(PlacementConstraint(costs={"s0": 9.0, "s1": 9.0, "s3": 9.0}))
         self.assertEqual(of(made.handle(NOW, [request("a", NOW)]), ForwardAttempt)[0].server, "s2")
 
-    def test_all_guides_are_asked_and_told(self) -> None:
+    def test_combined_providers_are_all_asked_and_notified(self) -> None:
         guides = [
-            Scripted(PlacementConstraint(frozenset({"s1", "s2"}))),
-            Scripted(PlacementConstraint(frozenset({"s2", "s3"}))),
+            ScriptedProvider(PlacementConstraint(frozenset({"s1", "s2"}))),
+            ScriptedProvider(PlacementConstraint(frozenset({"s2", "s3"}))),
         ]
         made = Controller(settings(), 7, CombinedProviders(guides))
         made.handle(0, [servers()])
@@ -138,6 +142,6 @@
         made.handle(NOW, [SessionStarted("a", 0, "s2")])
         self.assertEqual([guide.heard[-1] for guide in guides], ["SessionStarted", "SessionStarted"])
 
-    def test_without_a_guide_nothing_is_bound(self) -> None:
+    def test_controller_without_a_provider_is_unconstrained(self) -> None:
         made = controller()
         self.assertEqual(len(of(made.handle(NOW, [request("a", NOW)]), ForwardAttempt)), 1)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -9,10 +9,10 @@
 
 from scenario import PLAYING, Broker, Scenario, World
 from test_deploy import DEPLOY, here
-from test_scenario_input import Bounds
+from test_scenario_input import InputLimits
 
 RUN = here(DEPLOY["run"])
-SETUP = Bounds.SET_UP % 1
+SETUP = InputLimits.SET_UP_TEMPLATE % 1
 LATE = {"DialTimeoutUs": 8_000_000}
 SERVED = """
     e0 expect SETUP s1
@@ -24,10 +24,10 @@
 """
 
 
-class Stages(Scenario):
+class ShutdownByStage(Scenario):
     """SIGTERM, and the request is ..."""
 
-    def test_unread_in_the_kernel(self) -> None:
+    def test_request_unread_in_the_kernel_is_served(self) -> None:
         self.play(
             """
             v1 send OPTIONS
@@ -40,7 +40,7 @@
             + SERVED
         )
 
-    def test_on_a_connection_that_was_not_taken_yet(self) -> None:
+    def test_request_on_a_connection_not_accepted_yet_is_served(self) -> None:
         self.play(
             """
             b send STOP
@@ -51,7 +51,7 @@
             + SERVED
         )
 
-    def test_half_read(self) -> None:
+    def test_request_half_read_is_served(self) -> None:
         self.play(
             f"""
             v1 send RAW {SETUP[:90]!r}
@@ -64,7 +64,7 @@
             + SERVED
         )
 
-    def test_queued_for_a_dial(self) -> None:
+    def test_request_queued_for_a_dial_is_served(self) -> None:
         self.play(
             """
             v1 send SETUP s1 kind=exam left=9000
@@ -79,7 +79,7 @@
             e0="silent",
         )
 
-    def test_sent_and_unanswered_when_it_comes_twice(self) -> None:
+    def test_request_unanswered_when_sigterm_comes_twice_is_served(self) -> None:
         self.play("""
             v1 send SETUP s1 kind=exam left=3000
             e0 expect SETUP s1
@@ -94,7 +94,7 @@
             b expect EXIT code=0
         """)
 
-    def test_held_for_want_of_a_server(self) -> None:
+    def test_request_queued_for_a_server_is_rejected(self) -> None:
         self.play("""
             c send e0 state=draining
             c expect FOLLOWED follow=2
@@ -104,7 +104,7 @@
             b expect EXIT code=0
         """)
 
-    def test_given_up_by_a_viewer_that_leaves(self) -> None:
+    def test_request_whose_viewer_leaves_is_cancelled(self) -> None:
         self.play("""
             v1 send SETUP s1 kind=exam left=9000
             e0 expect SETUP s1
@@ -115,7 +115,7 @@
             b expect EXIT code=0
         """)
 
-    def test_answered_and_not_read_by_its_viewer(self) -> None:
+    def test_answer_not_read_by_its_viewer_does_not_delay_the_exit(self) -> None:
         """What it does not read is no reason to stay, and none to break off what others are owed."""
         self.play("""
             v1 send SETUP s1 kind=exam left=3000
@@ -131,7 +131,7 @@
         """)
 
 
-class Beginnings(unittest.TestCase):
+class SignalsAtStart(unittest.TestCase):
     """Signals that come while a broker reads its configuration, which waits in a pipe for as long as the test likes."""
 
     def begin(self, *signals: signal.Signals) -> World:
@@ -153,7 +153,7 @@
         world.rtsp_address = ("127.0.0.1", world.broker.wait_for_port())
         return world
 
-    def test_a_reload_that_crosses_the_reading_takes_the_newer_file(self) -> None:
+    def test_reload_while_the_file_is_read_takes_the_newer_file(self) -> None:
         self.begin(signal.SIGHUP).play("""
             b expect LINE msg=configuration_reloaded
             c2 send e0 state=draining
@@ -162,18 +162,18 @@
             v1 expect 453 s1
         """)
 
-    def test_an_end_that_is_asked_for_before_it_serves_comes_in_order(self) -> None:
+    def test_sigterm_before_it_serves_shuts_down_in_order(self) -> None:
         self.begin(signal.SIGTERM).play("""
             b expect LINE msg=shutdown_started
             b expect EXIT code=0
         """)
 
-    def test_both(self) -> None:
+    def test_sigterm_and_sighup_before_it_serves_shut_down(self) -> None:
         self.begin(signal.SIGTERM, signal.SIGHUP).play("""
             b expect EXIT code=0
         """)
 
-    def test_a_reload_asked_for_before_the_program_is_loaded_does_not_end_it(self) -> None:
+    def test_sighup_before_the_program_is_loaded_does_not_end_it(self) -> None:
         """As the platform starts it: SIGHUP comes while the interpreter itself is still about to read the program."""
         world = World(command=["/bin/sh", "-c", RUN.replace("exec ", "kill -HUP $$; exec ")])
         self.addCleanup(world.end)
@@ -183,8 +183,8 @@
         """)
 
 
-class Reloads(Scenario):
-    def test_requests_at_each_stage_outlive_a_reload(self) -> None:
+class ReloadsAndShutdowns(Scenario):
+    def test_reload_with_requests_at_each_stage_keeps_them(self) -> None:
         self.play(
             PLAYING
             + """
@@ -209,7 +209,7 @@
         """
         )
 
-    def test_sighup_and_then_sigterm_in_one_look(self) -> None:
+    def test_sighup_and_then_sigterm_in_one_look_reload_and_shut_down(self) -> None:
         self.play("""
             v1 send SETUP s1 kind=exam left=3000
             e0 expect SETUP s1
@@ -227,7 +227,7 @@
             b expect EXIT code=0
         """)
 
-    def test_a_file_that_is_bad_while_it_stops_is_logged_and_passed_over(self) -> None:
+    def test_reload_of_a_bad_file_during_a_shutdown_is_logged_and_skipped(self) -> None:
         self.play("""
             v1 send SETUP s1 kind=exam left=3000
             e0 expect SETUP s1
--- a/tests/test_viewer_eviction.py
+++ b/tests/test_viewer_eviction.py
@@ -25,10 +25,10 @@
 from lotuspick.transport.rtsp.rtsp_server import RtspServer
 
 
-class Crowds(unittest.TestCase):
+class ViewerEviction(unittest.TestCase):
     """Which viewer connections make room."""
 
-    def test_a_crowd_that_says_nothing_is_closed_many_at_once_and_shared_connections_one_by_one(self) -> None:
+    def test_idle_connections_are_closed_many_at_once_and_shared_ones_one_by_one(self) -> None:
         now = [0]
         made = SessionDispatcher(
             Mock(handle=Mock(return_value=[])),
@@ -74,7 +74,7 @@
             made.eviction_candidates(8), crowd[:-9:-1], "who said nothing for longest goes first"
         )
 
-    def test_those_that_are_being_closed_are_room_for_all_newcomers_of_one_look(self) -> None:
+    def test_connections_being_closed_count_as_capacity_for_newcomers_of_one_look(self) -> None:
         class Pipe(StringTransport):
             shut = False
 
