--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from helpers import SECOND, controller, of, request
-from scenario import Node, World, number
+from scenario import MediaNode, World, session_number
+from scenario_http import Answer
 
 from lotuspick.core.actions import ForwardAttempt
 from lotuspick.core.controller import Controller
@@ -20,7 +21,7 @@
 NOW = 20 * SECOND
 
 
-class Weighing(unittest.TestCase):
+class HintWeights(unittest.TestCase):
     def made(self) -> Controller:
         return controller(2, loads=0.5, positions=2)
 
@@ -33,12 +34,12 @@
         made.handle(now, [])
         return made.context.hint_trust.load_correction(made.servers["s0"], load, made.context.now)
 
-    def test_an_unknown_source_moves_nothing(self) -> None:
+    def test_hint_of_an_unknown_source_corrects_nothing(self) -> None:
         made = self.made()
         made.handle(NOW, [ServerHint("s0", 0.0)])
         self.assertEqual(self.moved(made), 0.0)
 
-    def test_trust_is_earned_and_the_move_bounded(self) -> None:
+    def test_hint_of_a_trusted_source_corrects_within_bounds(self) -> None:
         made = self.made()
         self.earn(made)
         made.handle(NOW, [ServerHint("s0", 0.0)])
@@ -46,13 +47,13 @@
         made.handle(NOW, [ServerHint("s0", 1e9)])
         self.assertAlmostEqual(self.moved(made), -MAX_HINT_LOWERING)
 
-    def test_a_hint_expires(self) -> None:
+    def test_hint_past_its_lifetime_corrects_nothing(self) -> None:
         made = self.made()
         self.earn(made)
         made.handle(NOW, [ServerHint("s0", 0.0)])
         self.assertEqual(self.moved(made, NOW + HINT_LIFETIME_US + 1), 0.0)
 
-    def test_a_reading_wins_and_costs_trust(self) -> None:
+    def test_hint_that_a_notification_contradicts_loses_trust(self) -> None:
         made = self.made()
         self.earn(made)
         made.handle(NOW, [ServerHint("s0", 0.0), SessionNotification("none", "s0", "link", 0.5)])
@@ -60,7 +61,7 @@
         made.handle(NOW, [ServerHint("s0", 0.0)])
         self.assertAlmostEqual(self.moved(made), MAX_HINT_RAISE / 2)
 
-    def test_a_player_speaks_of_its_own_server_alone_and_only_while_it_plays(self) -> None:
+    def test_player_hint_counts_for_its_own_server_while_it_plays(self) -> None:
         made = self.made()
         send = of(made.handle(NOW, [request("a", NOW, copies=2)]), ForwardAttempt)[0]
         made.handle(NOW, [PlayerHint("a", starved=True), PlayerHint("nobody", starved=True)])
@@ -68,7 +69,7 @@
         made.handle(NOW, [SessionStarted("a", 0, send.server, 1_000), PlayerHint("a", starved=True)])
         self.assertEqual([name for name, server in made.servers.items() if server.claims], [send.server])
 
-    def test_a_player_that_cries_short_is_believed_once_shares_bear_it_out(self) -> None:
+    def test_player_hint_of_a_shortage_counts_once_shares_confirm_it(self) -> None:
         made = self.made()
         send = of(made.handle(NOW, [request("a", NOW, copies=2)]), ForwardAttempt)[0]
         made.handle(NOW, [SessionStarted("a", 0, send.server, 1_000)])
@@ -85,7 +86,7 @@
         made.handle(NOW, [SessionNotification("a", send.server, "share", 1.0)])
         self.assertEqual(made.context.hint_trust.load_correction(server, 0.5, made.context.now), 0.0)
 
-    def test_a_player_that_is_well_earns_no_trust_for_its_cries(self) -> None:
+    def test_player_hint_of_a_good_state_earns_no_trust_for_shortages(self) -> None:
         made = self.made()
         send = of(made.handle(NOW, [request("a", NOW, copies=2)]), ForwardAttempt)[0]
         made.handle(NOW, [SessionStarted("a", 0, send.server, 1_000)])
@@ -104,7 +105,7 @@
         self.earn(made, 1)
         self.assertEqual(len(made.context.hint_trust.by_source), 4_096)
 
-    def test_nonsense_is_refused_where_it_is_made(self) -> None:
+    def test_hint_with_an_impossible_value_raises(self) -> None:
         for make in (
             lambda: ServerHint("s0", -1.0),
             lambda: ServerHint("s0", float("nan")),
@@ -115,8 +116,8 @@
                 make()
 
 
-class Codecs(unittest.TestCase):
-    def test_cmcd_of_headers_and_query(self) -> None:
+class HintCodecs(unittest.TestCase):
+    def test_cmcd_in_headers_and_query_is_merged(self) -> None:
         keys = cmcd.read(
             {"cmcd-request": "bl=1500,mtp=3200", "cmcd-status": "bs,com.example-x=1"}, 'cid="x",ot=v'
         )
@@ -124,13 +125,13 @@
         self.assertEqual(cmcd.hint("s", keys), PlayerHint("s", 1.5, True, 400.0))
         self.assertIsNone(cmcd.hint("s", {"cid": "x"}))
 
-    def test_cmsd_takes_the_nodes_own_entry(self) -> None:
+    def test_cmsd_of_several_servers_gives_the_nodes_own_entry(self) -> None:
         headers = {cmsd.DYNAMIC: '"origin";etp=8, "n1";etp=800;rtt=2', cmsd.STATIC: "ot=v,br=200"}
         self.assertEqual(cmsd.hint("n1", headers), ServerHint("n1", 100.0))
         self.assertEqual(cmsd.hint("n2", headers), ServerHint("n2", 1.0))
         self.assertIsNone(cmsd.hint("n1", {}))
 
-    def test_faults_name_the_key(self) -> None:
+    def test_malformed_hint_names_the_key(self) -> None:
         for text, key in (
             ("bl=x", "bl"),
             ("bs=1", "bs"),
@@ -157,7 +158,7 @@
 STALL = 8.0  # points of worth lost for each point of the rate that is missing
 
 
-class MediaNode(Node):
+class LoadedNode(MediaNode):
     """A node with a link that its sessions share with others'. ``told``: what its hints say of its room."""
 
     def __init__(self, world: World, label: str) -> None:
@@ -171,14 +172,14 @@
         ladder = (100.0, 200.0, 400.0)
         return self.others + sum(ladder[rung] for rung in self.rungs.values()) / LINK_KB
 
-    def answer(self, method: str, path: str, query: dict[str, str], body: bytes) -> tuple[int, dict, bytes]:
+    def respond(self, method: str, path: str, query: dict[str, str], body: bytes) -> Answer:
         if path == "/events":
-            self.heard.put(("POLL", "", query))
-            return super().answer(method, path, query, body)
+            self.receive("POLL", "", query)
+            return super().respond(method, path, query, body)
         session = path.rpartition("/")[2]
         if method == "DELETE":
             self.rungs.pop(session, None)
-            return 204, {}, b""
+            return Answer(204, {}, b"")
         self.rungs[session] = int(query["rung"])
         free = {
             "honest": 1 - self.load,
@@ -191,12 +192,12 @@
             if free is None
             else {"CMSD-Dynamic": f'"s-{self.label}";etp={max(0, int(free * LINK_KB * 8))}'}
         )
-        return 200, hints, self.label.encode()
+        return Answer(200, hints, self.label.encode())
 
     def note(self, session: str) -> None:
         """Tell the load, and wait until the broker has taken that in: it asks for what comes after."""
-        self.tell({"session": number(session), "note": "nic", "value": self.load})
-        while int(self.heard.get(timeout=20)[2].get("after", -1)) < len(self.events):
+        self.publish({"session": session_number(session), "note": "nic", "value": self.load})
+        while int(self.received.get(timeout=20).fields.get("after", -1)) < len(self.events):
             pass
 
 
@@ -205,7 +206,7 @@
     record, while others fill the link of one node. A node that turns tells the truth only till then. The mean worth of those who came after that."""
     world = World(
         hints=True,
-        node=MediaNode,
+        node=LoadedNode,
         n0="up",
         n1="up",
         seed=seed,
@@ -223,13 +224,13 @@
             if index == EARLY + LATE:
                 break
             world.play(f"p send SETUP s{index} copies=2 path=home:0;copies:2;top:2;viewer:{index:016x}")
-            status, _, said = world.actors["p"].heard.get(timeout=20)
+            status, _, said = world.actors["p"].received.get(timeout=20)
             assert status == "200", status
             node = world.actors[said["body"]]
             if index < EARLY:
                 node.note(f"s{index}")
             else:
-                late.append((node, number(f"s{index}")))
+                late.append((node, session_number(f"s{index}")))
             if players != "none":
                 short = (node.load > 1) == (players == "honest")
                 world.play(
@@ -244,7 +245,7 @@
         world.end()
 
 
-class Worth(unittest.TestCase):
+class HintValue(unittest.TestCase):
     def test_honest_hints_raise_service_and_false_ones_lower_it_by_few_points(self) -> None:
         arms = {
             "no hints": ("nothing", "none"),
