--- a/tests/test_membership_parts.py
+++ b/tests/test_membership_parts.py
@@ -239,11 +239,15 @@
         members = Members(RULES)
         members.detector.watch(1 * MS, ["a"])
         members.detector.add_suspicion(2 * MS, "a", "c")
+        members.detector.add_suspicion(3 * MS, "a", "d")
         members.detector.add_suspicion(4 * MS, "a", "b")
         members.detector.unheard_by["a"] = 5 * MS
         report = members.explain("a", 9 * MS + 999)
-        suspicion = SuspicionReport(7 * MS + 999, {"b": 5 * MS + 999, "c": 7 * MS + 999})
+        reported_us_ago = {"b": 5 * MS + 999, "c": 7 * MS + 999, "d": 6 * MS + 999}
+        suspicion = SuspicionReport(7 * MS + 999, reported_us_ago)
         self.assertEqual(report, MonitoringReport((), 8 * MS + 999, suspicion, 4 * MS + 999))
+        assert report.suspicion is not None
+        self.assertEqual(list(report.suspicion.reported_us_ago), ["b", "c", "d"])
 
     def test_member_of_which_nothing_is_known_is_explained_without_times(self) -> None:
         self.assertEqual(Members(RULES).explain("a", 9 * MS), MonitoringReport((), None, None, None))
