--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,6 +21,8 @@
 
 FAILURE_DETECTION = {"silent_ms": 1_200, "doubt_ms": 1_500}  # patient: many fleets share the machine here
 
+ENOUGH_SET_UPS = 20  # two in five are paid: that none of so many is has a chance of 4 in 100,000
+
 
 class FleetTestCase(unittest.TestCase):
     def fleet(self, brokers: int = 5, rate: float = 4.0, **changes: Any) -> FleetRig:
@@ -42,6 +44,15 @@
             if re.search(rf"msg=member_changed member={named} state=dead", line)
         ]
 
+    def wait_for_set_ups(self, rig: FleetRig, broker: int, count: int) -> None:
+        """Wait until so many further set-ups that viewers asked a broker for have run."""
+
+        def ran() -> int:
+            return sum(set_up.seat == f"b{broker}" for set_up in rig.node_set_ups())
+
+        wanted = ran() + count
+        rig.wait_until(lambda: ran() >= wanted, f"{count} set-ups of broker {broker} run")
+
     def stop_and_check(self, rig: FleetRig, disturbed: set[int]) -> list[SetUpResult]:
         """Each set-up had one outcome, and plain ones lost nothing at brokers whose process was not disturbed."""
         results = rig.stop_load()
@@ -195,12 +206,15 @@
 
     def test_name_taken_by_a_newcomer_serves_paid_sessions_at_the_newcomer_alone(self) -> None:
         rig = self.fleet(6, name_overrides={5: "n2"}, late_brokers=1)
+        self.wait_for_set_ups(rig, 2, ENOUGH_SET_UPS)
         rig.launch(5)
         rig.wait_for_quorum_state([2], "displaced")
         rig.wait_for_quorum_state([5], "whole")
         self.assertIn("msg=broker_displaced", rig.broker_log(2))
         before = len(rig.node_set_ups())
         rig.wait_until(lambda: len(rig.node_set_ups()) > before + 60, "set-ups run")
+        self.wait_for_set_ups(rig, 5, ENOUGH_SET_UPS)
+        self.wait_for_set_ups(rig, 2, ENOUGH_SET_UPS)
         results = self.stop_and_check(rig, {5})
         ends = {
             at: max(
