--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -101,7 +101,7 @@
 
 
 class BrokerWithUnreadLog(Broker):
-    """A broker whose lines nobody reads, once it serves: they fill their pipe, and whoever writes more waits."""
+    """A broker whose log nobody reads once it serves: it fills its pipe, and whoever writes more waits."""
 
     def read_log(self) -> None:
         assert self.process.stderr is not None
@@ -201,19 +201,19 @@
 
     aborted = False
 
-    def setTcpNoDelay(self, on: bool) -> None:
+    def setTcpNoDelay(self, on: bool) -> None:  # noqa: N802  # Twisted's name
         pass
 
-    def getHandle(self) -> Any:
+    def getHandle(self) -> Any:  # noqa: N802  # Twisted's name
         return Mock()
 
     def fileno(self) -> int:
         return -1
 
-    def abortConnection(self) -> None:
+    def abortConnection(self) -> None:  # noqa: N802  # Twisted's name
         self.aborted = True
 
-    def loseWriteConnection(self) -> None:
+    def loseWriteConnection(self) -> None:  # noqa: N802  # Twisted's name
         pass
 
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,4 +1,4 @@
-"""Each departure and defence, through events: every test fails without the code that it names."""
+"""Decisions beyond plain placement, through events: each test fails without the code that it names."""
 
 from __future__ import annotations
 
@@ -52,18 +52,21 @@
     for n in range(24):
         placed = place(made, NOW + n, f"r{n}", copies=1)
         rungs.append(placed[1] if placed else None)
-    assert rungs[0] is not None and rungs[0] >= 2
+    assert rungs[0] is not None
+    assert rungs[0] >= 2
     served = [rung for rung in rungs if rung is not None]
-    assert served == sorted(served, reverse=True) and served[-1] == 0
+    assert served == sorted(served, reverse=True)
+    assert served[-1] == 0
     # At the rung of the first the link would be full after two.
     assert len(served) >= 4
 
 
 def test_load_limit_of_a_rung_worth_less_per_kb_is_lower() -> None:
     made = controller()
-    for cls in made.classes.values():
-        levels = [made.rungs.load_limit(cls, rung) for rung in range(4)]
-        assert levels == sorted(levels, reverse=True) and levels[0] == MAX_LINK_LOAD, cls.name
+    for session_class in made.classes.values():
+        limits = [made.rungs.load_limit(session_class, rung) for rung in range(4)]
+        assert limits == sorted(limits, reverse=True), session_class.name
+        assert limits[0] == MAX_LINK_LOAD, session_class.name
     assert made.rungs.load_limit(made.classes["exam"], 3) > made.rungs.load_limit(
         made.classes["clip"], 3
     )  # three times the worth
@@ -83,11 +86,12 @@
     fallen = high - made.rungs.free_load
     for second in range(200):
         made.handle(NOW + 6 * SECOND + second, [load_notification("share", 0.9)])
-    assert 0 < fallen < 0.1 and made.rungs.free_load >= 0.3
+    assert 0 < fallen < 0.1
+    assert made.rungs.free_load >= 0.3
 
 
 def test_free_load_moves_in_proportion_to_session_turnover() -> None:
-    """Where sessions are five times as short, levels that take half a minute to rise come when all is over."""
+    """Where sessions are a fifth as long, limits that take half a minute to rise come when all is over."""
     rises, falls = [], []
     for length_us in (50e6, 10e6):
         made = controller(count=2)
@@ -98,12 +102,13 @@
         rises.append(made.rungs.free_load - before)
         made.handle(NOW + SECOND, [load_notification("share", 0.9)])
         falls.append(before + rises[-1] - made.rungs.free_load)
-    assert rises[1] == pytest.approx(5 * rises[0]) and falls[1] == pytest.approx(5 * falls[0])
+    assert rises[1] == pytest.approx(5 * rises[0])
+    assert falls[1] == pytest.approx(5 * falls[0])
 
 
-@pytest.mark.parametrize("load, home", [(0.2, range(16, 21)), (0.5, range(1))])
-def test_own_zone_is_chosen_unless_it_is_much_fuller(load: float, home: range) -> None:
-    """Few sessions a gateway, all of them priced by the second: near-equal load is no reason to cross."""
+@pytest.mark.parametrize(("load", "times_at_home"), [(0.2, range(16, 21)), (0.5, range(1))])
+def test_own_zone_is_chosen_unless_it_is_much_fuller(load: float, times_at_home: range) -> None:
+    """Few sessions a broker, all of them priced by the second: near-equal load is no reason to cross."""
     chosen = []
     for seed in range(20):
         made = Controller(settings(cross_zone_price=0.06, positions=2), seed)
@@ -111,17 +116,17 @@
         made.handle(NOW, [load_notification("link", load), load_notification("link", 0.18, "s1")])
         placed = place(made, NOW, "a", copies=2, highest_rung=0)
         chosen.append(placed is not None and placed[0] == "s0")
-    assert sum(chosen) in home
+    assert sum(chosen) in times_at_home
 
 
-@pytest.mark.parametrize("gateways", [1, 12])
-def test_many_brokers_together_raise_within_the_free_capacity(gateways: int) -> None:
-    """Each holds one session of a server; they hear the same notes. One gateway with all of them is alike."""
+@pytest.mark.parametrize("brokers", [1, 12])
+def test_many_brokers_together_raise_within_the_free_capacity(brokers: int) -> None:
+    """Each has one session of a server, and all get the same notifications. One broker with all is alike."""
     raised = 0
-    for seed in range(gateways):
-        made = Controller(settings(brokers=gateways, link_kb_per_weight=10_000.0), seed)
+    for seed in range(brokers):
+        made = Controller(settings(brokers=brokers, link_kb_per_weight=10_000.0), seed)
         made.handle(0, [servers(1)])
-        names = [f"p{n}" for n in range(12 // gateways)]
+        names = [f"p{n}" for n in range(12 // brokers)]
         made.handle(
             NOW,
             [
@@ -135,7 +140,7 @@
         )
         made.handle(NOW, [request("x", NOW, home_position=3, copies=1)])
         raised += len(of(made.handle(NOW + made.rungs.calm_us, [load_notification("link", 0.6)]), SetRung))
-    # Room up to the level of the rung: some rise, and not so many that the link is short.
+    # Capacity up to the load limit of the rung: some rise, and not so many that the link is short.
     assert 0 < raised <= 12
 
 
@@ -164,28 +169,28 @@
     actions = made.handle(
         NOW + 50_000, [SessionStarted("a", 0, "s0"), SessionNotification("a", "s0", "link", 0.05)]
     )
-    assert before < 3 and [each.rung for each in of(actions, SetRung)] == [before + 1]
+    assert before < 3
+    assert [each.rung for each in of(actions, SetRung)] == [before + 1]
 
 
 def test_load_without_own_sessions_fades_to_the_average() -> None:
     made = controller(count=2, loads=0.2)
     made.handle(NOW, [load_notification("link", 2.0)])
-    line = made.servers["s0"].link
+    link = made.servers["s0"].link
     keep_us = made.context.link_loads.keep_us
-    assert line.load(0.2, NOW + keep_us // 2) == 2.0
-    assert line.load(0.2, NOW + keep_us + 6 * READING_FADE_US) == pytest.approx(0.2, abs=0.01)
-    line.own_kb_per_s = 1.0
-    assert line.load(0.2, NOW + keep_us + 6 * READING_FADE_US) == 2.0
+    assert link.load(0.2, NOW + keep_us // 2) == 2.0
+    assert link.load(0.2, NOW + keep_us + 6 * READING_FADE_US) == pytest.approx(0.2, abs=0.01)
+    link.own_kb_per_s = 1.0
+    assert link.load(0.2, NOW + keep_us + 6 * READING_FADE_US) == 2.0
 
 
 def test_lifetime_of_loads_and_calm_follow_the_notification_interval() -> None:
-    """A site whose notes come twice as seldom must not take each reading for out before the next is due."""
-    for tell_us in (SECOND, 2 * SECOND, 6 * SECOND):
-        made = controller(notification_interval_us=tell_us)
-        assert (
-            made.context.link_loads.keep_us > tell_us and made.rungs.calm_us > made.context.link_loads.keep_us
-        )
-        assert (made.context.link_loads.keep_us, made.rungs.calm_us) == (1.5 * tell_us, 1.8 * tell_us)
+    """A site that notifies half as often must not take each load for outdated before the next is due."""
+    for interval_us in (SECOND, 2 * SECOND, 6 * SECOND):
+        made = controller(notification_interval_us=interval_us)
+        assert made.context.link_loads.keep_us > interval_us
+        assert made.rungs.calm_us > made.context.link_loads.keep_us
+        assert (made.context.link_loads.keep_us, made.rungs.calm_us) == (1.5 * interval_us, 1.8 * interval_us)
     assert (
         controller(notification_interval_us=0).context.link_loads.keep_us
         == 1.5 * DEFAULT_NOTIFICATION_INTERVAL_US
@@ -204,8 +209,9 @@
     place(made, NOW, "a", copies=1, highest_rung=3)
     made.handle(NOW, [SessionStarted("a", 0, "s0")])
     before = made.sessions["a"].rung
-    cuts = of(made.handle(NOW + SECOND, [load_notification("share", 0.7)]), SetRung)
-    assert cuts and cuts[0].rung < before
+    lowered = of(made.handle(NOW + SECOND, [load_notification("share", 0.7)]), SetRung)
+    assert lowered
+    assert lowered[0].rung < before
     assert not of(made.handle(NOW + SECOND + 10_000, [load_notification("share", 0.7)]), SetRung)
     assert made.servers["s0"].pools[0] == sum(made.sessions["a"].pool_draws)
 
@@ -244,7 +250,8 @@
     made.handle(NOW, [request("x", NOW, home_position=3, copies=1, highest_rung=0)])
     before = made.context.racks[0].kb_per_s
     made.handle(NOW + 1, [load_notification("share", 0.8)])
-    assert made.context.racks[0].kb_per_s < before and made.context.racks[1].kb_per_s == before
+    assert made.context.racks[0].kb_per_s < before
+    assert made.context.racks[1].kb_per_s == before
     made.handle(NOW + 2, [load_notification("share", 0.99)])
     assert made.context.racks[0].kb_per_s >= 0.9 * 1000.0
 
@@ -261,19 +268,19 @@
 def test_server_that_fails_is_ejected_with_backoff_and_comes_back() -> None:
     made = controller(count=1, classes=[ClassSettings("clip", SECOND)])
     now = NOW
-    waits = []
+    ejected_at = []
     for n in range(3):
         while place(made, now, f"r{n}-{now}", copies=1) is None:
             now += SECOND // 4
-        waits.append(now)
+        ejected_at.append(now)
         name = next(name for name, each in made.sessions.items() if each.phase is SessionPhase.FORWARDED)
         made.handle(now, [AttemptEnded(name, made.sessions[name].attempt, "s0", "unreachable")])
-    assert waits[2] - waits[1] > waits[1] - waits[0] >= SECOND
+    assert ejected_at[2] - ejected_at[1] > ejected_at[1] - ejected_at[0] >= SECOND
 
 
 @pytest.mark.parametrize("outcome", ["error", "lost", "timeout"])
 def test_server_known_to_be_alive_is_ejected_for_consecutive_failures_alone(outcome: str) -> None:
-    """Bad requests and spoilt connections fail one by one at every server: they must not empty the fleet."""
+    """Bad requests and broken connections fail one by one at every server: they must not empty the fleet."""
     made = controller(count=1)
     for number in range(6):
         assert place(made, NOW + number, f"good{number}", copies=1) is not None
@@ -303,7 +310,7 @@
 
 
 def test_broker_that_starts_alone_paces_guessed_server_starts_by_the_whole_budget() -> None:
-    def sends(handed_over: bool, started_us: int) -> int:
+    def forwarded(handed_over: bool, started_us: int) -> int:
         made = Controller(settings(brokers=4, link_kb_per_weight=1e6), 7)
         made.handle(NOW, [ServerListUpdate([entry(0, started_us=started_us)], complete=True)])
         if handed_over:
@@ -311,7 +318,7 @@
         return sum(place(made, NOW + number, f"r{number}", copies=1) is not None for number in range(25))
 
     # 0.6 of 2.5 times half its capacity, 30 places in 8 s, over 1.5 s: four; a fourth of it for each of four
-    assert [sends(False, 0), sends(True, 0), sends(False, NOW - SECOND)] == [4, 1, 1]
+    assert [forwarded(False, 0), forwarded(True, 0), forwarded(False, NOW - SECOND)] == [4, 1, 1]
 
 
 def test_servers_that_left_are_forgotten() -> None:
@@ -360,7 +367,8 @@
         for second in range(1, 30)
         for action in of(made.handle(NOW + second * SECOND, []), SetRung)
     ]
-    assert rungs and rungs[0] == 1
+    assert rungs
+    assert rungs[0] == 1
 
 
 def test_session_just_started_on_a_link_over_the_limit_is_lowered_at_once() -> None:
@@ -374,10 +382,11 @@
 
 
 @pytest.mark.parametrize(
-    ("allowed", "most", "told"), [(True, 5 * SECOND, SECOND), (True, 300_000, 300_000), (False, SECOND, 0)]
+    ("allowed", "max_retry_after_us", "expected_us"),
+    [(True, 5 * SECOND, SECOND), (True, 300_000, 300_000), (False, SECOND, 0)],
 )
-def test_rejection_says_when_to_come_back(allowed: bool, most: int, told: int) -> None:
-    made = controller(count=1, retry_after_allowed=allowed, max_retry_after_us=most)
+def test_rejection_says_when_to_come_back(allowed: bool, max_retry_after_us: int, expected_us: int) -> None:
+    made = controller(count=1, retry_after_allowed=allowed, max_retry_after_us=max_retry_after_us)
     answers = made.handle(NOW, [request("a", NOW, highest_rung=0, home_position=3, copies=1)])
     answers += made.handle(NOW + 5 * SECOND, [])
-    assert [each.retry_after_us for each in of(answers, RejectSession)] == [told]
+    assert [each.retry_after_us for each in of(answers, RejectSession)] == [expected_us]
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,7 +1,7 @@
 """Tests that the pages of the documentation name are there.
 
-Pages that record what was measured at one commit (docs/regression.md, docs/ROADMAP.md, docs/results) keep the names of
-that commit and are not read here.
+Pages that record what was measured at one commit (docs/regression.md, docs/ROADMAP.md, docs/results) keep
+the names of that commit and are not read here.
 """
 
 from __future__ import annotations
--- a/tests/test_edge_server_client.py
+++ b/tests/test_edge_server_client.py
@@ -123,7 +123,7 @@
         return sum(link.dial.call_count for link in self.pool.clients.values())  # type: ignore[attr-defined]
 
     def test_two_failures_in_a_zone_have_the_rest_of_it_checked(self) -> None:
-        """Of a zone that is lost some connections show nothing, and each would be found out by its silence."""
+        """Of a lost zone some connections show nothing, and each would be found out by its silence."""
         links = self.links("a", "a", "b", "a", "b")
         self.clock.advance(3.0)
         links[0]._on_dial_failed(TerminationReason.DIAL_REFUSED, links[0].address)
@@ -136,7 +136,7 @@
         self.assertEqual(self.dialled(), 1)  # and neither are two with time between them
 
     def test_draining_servers_that_fail_do_not_count_as_a_lost_zone(self) -> None:
-        """At a release many die together, and a dial at every broker to all the others would find them well."""
+        """At a release many end together, and a dial at every broker to all the others finds them well."""
         links = self.links("a", "a", "a")
         leaving = [ServerEntry(link.server, "a", "box", 0, "draining") for link in links[:2]]
         self.pool.update_endpoints(
@@ -148,7 +148,7 @@
         self.assertEqual(self.dialled(), 0)
 
     def test_draining_server_may_be_silent_for_longer(self) -> None:
-        """It plays on without notes, and refuses a dial: taken for dead, all that stands there would be cut."""
+        """It plays on without notifications and refuses a dial; taken for dead, its sessions would end."""
         links = self.links("a", "a")
         links[0].draining = True
         self.pool.limits = EdgeLimits(0.25, 27, silence_s=3, per_connection=32, connections=40)
--- a/tests/test_endpoint_events.py
+++ b/tests/test_endpoint_events.py
@@ -4,6 +4,7 @@
 
 import json
 import unittest
+from typing import ClassVar
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,7 +16,7 @@
 
 
 class EndpointEvents(unittest.TestCase):
-    SERVER = {
+    SERVER: ClassVar[dict[str, object]] = {
         "id": "s-1",
         "addr": "127.0.0.1:1",
         "zone": "z",
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -201,17 +201,25 @@
             pass
 
 
+def start_world(seed: int) -> World:
+    """A broker with two nodes that have a link."""
+    family = {"WeightKb": LINK_KB, "PlacesByKind": [200]}
+    return World(hints=True, node=LoadedNode, n0="up", n1="up", seed=seed, family=family)
+
+
+def value(node: LoadedNode, session: str) -> float:
+    """What a session earns at its rung and under the load of its node."""
+    stalled = max(0.0, 0.98 - 1 / max(1.0, node.load))
+    return (0.3, 0.6, 1.0)[node.rungs[session]] * max(0.0, 1 - STALL * stalled)
+
+
 def service(told: str, players: str, seed: int) -> float:
-    """A cohort comes to a title that two nodes hold. At first notes come; then they stay out, as in a trouble on
-    record, while others fill the link of one node. A node that turns tells the truth only till then. The mean worth of those who came after that."""
-    world = World(
-        hints=True,
-        node=LoadedNode,
-        n0="up",
-        n1="up",
-        seed=seed,
-        family={"WeightKb": LINK_KB, "PlacesByKind": [200]},
-    )
+    """The mean value of the sessions of a cohort that comes to a title which two nodes hold.
+
+    At first notifications come; then they stay out, as in a recorded fault, while others fill the link of one
+    node. A node that is ``turning`` tells the truth only till then. Sessions count that came after that.
+    """
+    world = start_world(seed)
     try:
         nodes = [world.actors["n0"], world.actors["n1"]]
         late: list[tuple[Any, str]] = []
@@ -236,11 +244,7 @@
                 world.play(
                     f"p send HINT s{index} CMCD={'bs%2Cmtp%3D8' if short else 'bl%3D9000'}\np expect 204"
                 )
-        return mean(
-            (0.3, 0.6, 1.0)[node.rungs[session]]
-            * max(0.0, 1 - STALL * max(0.0, 0.98 - 1 / max(1.0, node.load)))
-            for node, session in late
-        )
+        return mean(value(node, session) for node, session in late)
     finally:
         world.end()
 
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,10 +1,11 @@
-"""The pool arithmetic: sizing, drawing, release, window and empty ranges."""
+"""Pools of link capacity by session length: size, draws, release, window of popularity."""
 
 from __future__ import annotations
 
 import pytest
 from helpers import LADDER, SECOND, controller, place, request
 
+from lotuspick.core.controller import Controller
 from lotuspick.core.events import AttemptEnded, SessionNotification, SessionStarted
 from lotuspick.core.state import Loads, SessionPhase
 from lotuspick.core.tuning import MAX_LINK_LOAD, POPULARITY_WINDOW_US
@@ -31,7 +32,8 @@
 def test_pool_without_length_hints_gets_nothing_once_there_are_any() -> None:
     made = controller()
     before = made.context.popularity.pool_sizes(made.context.now)
-    assert sum(before) == pytest.approx(1.0) and min(before) > 0
+    assert sum(before) == pytest.approx(1.0)
+    assert min(before) > 0
     made.handle(NOW, [request("a", NOW, length_us=20e6)])
     assert made.context.popularity.pool_sizes(made.context.now) == [1.0, 0.0, 0.0]
 
@@ -56,7 +58,7 @@
     assert made.context.popularity.hint_count == [0, 0, 0]
 
 
-def fill(made, load: float) -> None:
+def fill_links(made: Controller, load: float) -> None:
     made.handle(
         made.context.now, [SessionNotification("none", f"s{position}", "link", load) for position in range(4)]
     )
@@ -73,10 +75,10 @@
 def test_short_session_on_a_busy_link_is_kept_out_of_the_long_pool() -> None:
     made = controller(loads=0.0)
     made.handle(NOW, [request(f"long{n}", NOW, length_us=300e6, highest_rung=0) for n in range(3)])
-    fill(made, 0.82)
+    fill_links(made, 0.82)
     assert place(made, NOW, "short", length_us=1e6, highest_rung=0) is None
     made.handle(NOW, [])
-    fill(made, 0.70)
+    fill_links(made, 0.70)
     assert made.sessions["short"].phase is SessionPhase.FORWARDED
 
 
@@ -125,31 +127,31 @@
     made = controller(count=1)
     for n in range(40):
         place(made, NOW, f"r{n}", copies=1)
-    line = made.servers["s0"].link
-    assert 0.5 < line.load(0.0, made.context.now) <= MAX_LINK_LOAD
+    link = made.servers["s0"].link
+    assert 0.5 < link.load(0.0, made.context.now) <= MAX_LINK_LOAD
 
 
-@pytest.mark.parametrize("first", ["note", "start"])
-@pytest.mark.parametrize("load, rung", [(0.3, 2), (1.5, 0)])
+@pytest.mark.parametrize("first", ["notification", "start"])
+@pytest.mark.parametrize(("load", "rung"), [(0.3, 2), (1.5, 0)])
 def test_first_notification_before_or_after_the_start_adjusts_the_rung(
     first: str, load: float, rung: int
 ) -> None:
-    """On sockets half of the first notes come ahead of the answer: passed over, they leave full links full."""
+    """On sockets half of the first notifications come before the answer; ignored, full links stay full."""
     made = controller(1, loads=None, rung_change_cost_s=0.0)
     made.handle(NOW, [SessionNotification("none", "s0", "link", 0.5)])
-    at = NOW + 30 * SECOND  # heard so long ago that the rung is a guess
-    assert place(made, at, "a", copies=1) == ("s0", 1)
+    now = NOW + 30 * SECOND  # notified so long ago that the rung is a guess
+    assert place(made, now, "a", copies=1) == ("s0", 1)
     events = [SessionNotification("a", "s0", "link", load), SessionStarted("a", 0, "s0", 1_000)]
-    made.handle(at + 1_000, events if first == "note" else events[::-1])
+    made.handle(now + 1_000, events if first == "notification" else events[::-1])
     assert made.sessions["a"].rung == rung
 
 
 def test_server_without_notifications_counts_as_average_and_bad_loads_are_ignored() -> None:
     made = controller(loads=0.5)
-    fresh = made.servers["s0"].link
+    link = made.servers["s0"].link
     for bad in (float("nan"), float("inf"), -1.0):
         made.handle(NOW, [SessionNotification("none", "s0", "link", bad)])
-    assert fresh.base == 0.5
+    assert link.base == 0.5
     made = controller(loads=None)
     made.handle(1, [SessionNotification("none", "s0", "link", 0.5)])
     assert (
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -34,7 +34,7 @@
 
 class LateAnswers(Scenario):
     def test_late_answers_of_all_attempts_are_released(self) -> None:
-        """Two servers time out one after the other, then both answer. e0 says something, so that it is not mute."""
+        """Two servers time out in turn, then both answer. e0 sends something, so as to be alive."""
         self.play(
             """
             v1 send SETUP s1 copies=2 left=2500
@@ -179,7 +179,7 @@
         self.assertEqual((self.loop.sessions.entries, self.loop.sessions.by_connection), ({}, {}))
 
     def test_flood_of_duplicates_is_read_until_its_connection_is_closed(self) -> None:
-        """Each would cost a line: some hundred fill the pipe that they go to, and the whole broker waits for it."""
+        """Each would cost a log line: some hundred fill the pipe, and the whole broker waits for it."""
         viewer = Mock(is_open=True)
         viewer.close_with_error = Mock(side_effect=lambda why: setattr(viewer, "is_open", False))
         self.play(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from collections import Counter, defaultdict
+from collections import Counter
+from itertools import pairwise
 
 import pytest
 from helpers import SECOND, controller, entry, of, place, request, servers, settings
@@ -36,7 +37,7 @@
 
 
 class RuleChecker:
-    """Plays the world's side of one gateway and checks each action against the rules."""
+    """Plays viewers and servers of one broker and checks each action against the rules."""
 
     def __init__(self, made: Controller) -> None:
         self.made, self.now = made, NOW
@@ -65,7 +66,8 @@
             self.timers.append((self.now + action.delay_us, action.timer_id))
         if isinstance(action, (RejectSession, FailSession, ForwardAttempt)):
             state = self.open[action.session]
-            assert not state["answered"] and not state["gone"], "an action on a dead request"
+            assert not state["answered"], "an action on a dead request"
+            assert not state["gone"], "an action on a dead request"
             assert self.now < state["ask"].deadline_us
             paid = state["ask"].session_class != "clip"
             if isinstance(action, ForwardAttempt):
@@ -81,7 +83,8 @@
                 state["attempts"] += 1
             else:
                 if isinstance(action, RejectSession):
-                    assert state["out"] is None and not (paid and state["ran"])
+                    assert state["out"] is None
+                    assert not (paid and state["ran"])
                 state["answered"] = True
         if isinstance(action, SetRung):
             ask = self.open[action.session]["ask"]
@@ -196,14 +199,17 @@
     made = controller()
     server, _ = place(made, NOW, "p", session_class="exam") or ("", 0)
     actions = made.handle(NOW + 1, [AttemptEnded("p", 0, server, "timeout")])
-    assert of(actions, FailSession) and not of(actions, ForwardAttempt) and not of(actions, RejectSession)
+    assert of(actions, FailSession)
+    assert not of(actions, ForwardAttempt)
+    assert not of(actions, RejectSession)
 
 
 def test_paid_session_that_provably_never_ran_is_retried() -> None:
     made = controller()
     server, _ = place(made, NOW, "p", session_class="exam") or ("", 0)
-    sends = of(made.handle(NOW + 1, [AttemptEnded("p", 0, server, "unreachable")]), ForwardAttempt)
-    assert sends and sends[0].server != server
+    retries = of(made.handle(NOW + 1, [AttemptEnded("p", 0, server, "unreachable")]), ForwardAttempt)
+    assert retries
+    assert retries[0].server != server
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
@@ -221,32 +227,33 @@
     assert place(made, NOW, "a", home_position=1, copies=1) is None
 
 
-@pytest.mark.parametrize("gateways", [1, 3, 9])
-def test_warming_up_server_gets_this_brokers_share_in_any_window(gateways: int) -> None:
-    made = controller(count=1, brokers=gateways, link_kb_per_weight=1e6, stream_limit_by_kind={"box": 60})
+@pytest.mark.parametrize("brokers", [1, 3, 9])
+def test_warming_up_server_gets_this_brokers_share_in_any_window(brokers: int) -> None:
+    made = controller(count=1, brokers=brokers, link_kb_per_weight=1e6, stream_limit_by_kind={"box": 60})
     made.handle(NOW, [ServerListUpdate([entry(0, started_us=NOW)])])
     sent, now = [], NOW
     for number in range(790):
         now += 10_000
         if place(made, now, f"r{number}", copies=1):
             sent.append(now)
-    budget = 60 / (8 * SECOND) * 0.5 * 2.5 * 1_500_000 / gateways
-    most = max(sum(at - 1_500_000 < other <= at for other in sent) for at in sent)
-    assert sent and most <= max(1, budget)
+    budget = 60 / (8 * SECOND) * 0.5 * 2.5 * 1_500_000 / brokers
+    assert sent
+    maximum = max(sum(at - 1_500_000 < other <= at for other in sent) for at in sent)
+    assert maximum <= max(1, budget)
     if budget < 1:
-        assert min(b - a for a, b in zip(sent, sent[1:])) >= 1_500_000 / budget
+        assert min(later - earlier for earlier, later in pairwise(sent)) >= 1_500_000 / budget
 
 
 @profile(derandomize=True, max_examples=8, deadline=None)
 @given(st.integers(2, 60), st.integers(0, 1000), st.sampled_from(["told", "failed", "failed, then told"]))
 def test_all_brokers_together_keep_the_slow_start_budget_of_a_server(
-    gateways: int, seed: int, how: str
+    brokers: int, seed: int, how: str
 ) -> None:
-    """Every gateway wants the server at once, again and again, through its whole warm-up."""
-    sends: list[int] = []
+    """Every broker wants the server at once, again and again, through its whole warm-up."""
+    sent: list[int] = []
     budget = 30 / (8 * SECOND) * 0.5 * 2.5 * 1_500_000  # for any window, at the capacity of its start
-    for number in range(gateways):
-        made = Controller(settings(brokers=gateways, link_kb_per_weight=1e6), seed * 1000 + number)
+    for number in range(brokers):
+        made = Controller(settings(brokers=brokers, link_kb_per_weight=1e6), seed * 1000 + number)
         made.handle(0, [servers(1)])
         if how == "told":
             made.handle(NOW, [ServerListUpdate([entry(0, started_us=NOW)])])
@@ -258,10 +265,10 @@
             if step == 10 and how.endswith("told"):
                 made.handle(now, [ServerListUpdate([entry(0, started_us=now)])])
             if place(made, now, f"r{step}", copies=1, deadline_us=now + 30_000) is not None:
-                sends.append(now)
+                sent.append(now)
                 made.handle(now + 20_000, [AttemptEnded(f"r{step}", 0, "s0", "served", final=True)])
-    most = max((sum(at - 1_500_000 < other <= at for other in sends) for at in sends), default=0)
-    assert most <= budget + 3 * budget**0.5  # slack for chance
+    maximum = max((sum(at - 1_500_000 < other <= at for other in sent) for at in sent), default=0)
+    assert maximum <= budget + 3 * budget**0.5  # slack for chance
 
 
 def test_server_whose_failure_was_seen_is_expected_to_start() -> None:
@@ -348,7 +355,7 @@
 
 def test_sessions_of_titles_spread_over_their_holders() -> None:
     made = controller()
-    used = defaultdict(int)
+    used: Counter[str] = Counter()
     for n in range(12):
         placed = place(made, NOW, f"r{n}", highest_rung=0)
         if placed:
--- a/tests/test_scenario_input.py
+++ b/tests/test_scenario_input.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from itertools import pairwise
+
 from scenario import PLAYING, Scenario
 
 
@@ -14,10 +16,7 @@
     def test_messages_in_pieces_and_together_are_read(self) -> None:
         both = self.SET_UP_TEMPLATE % 1 + self.SET_UP_TEMPLATE % 2
         cuts = (0, 3, 33, 95, len(both) // 2 - 1, len(both) // 2 + 1, len(both))
-        pieces = "\n".join(
-            f"v1 send RAW {both[start:end]!r}\nv1 wait 0.02"
-            for start, end in zip(cuts, cuts[1:], strict=False)
-        )
+        pieces = "\n".join(f"v1 send RAW {both[start:end]!r}\nv1 wait 0.02" for start, end in pairwise(cuts))
         self.play(
             pieces
             + """
--- a/tests/test_scenario_sessions.py
+++ b/tests/test_scenario_sessions.py
@@ -173,7 +173,8 @@
         """It floods, and leaves; and whoever asked first hears the one answer."""
         copy = (
             b"SETUP rtsp://media/aa00 RTSP/1.0\r\nCSeq: 1\r\nSession: 0000000000000001\r\nP-Kind: exam\r\n"
-            b"P-Time-Left: 9000\r\nX-Length: 20000.0\r\nP-Path: home:0;copies:1;top:2;viewer:00000000000000aa\r\n"
+            b"P-Time-Left: 9000\r\nX-Length: 20000.0\r\n"
+            b"P-Path: home:0;copies:1;top:2;viewer:00000000000000aa\r\n"
             b"Content-Length: 4\r\n\r\nmine"
         )
         for then in (
--- a/tests/test_seam.py
+++ b/tests/test_seam.py
@@ -1,4 +1,4 @@
-"""The seam: bounds that only narrow, and a core that asks before each attempt and tells what became of it."""
+"""Placement constraints only narrow; the core asks for them before each attempt and reports its outcome."""
 
 from __future__ import annotations
 
@@ -16,44 +16,47 @@
 from lotuspick.core.settings import ClassSettings
 
 NOW = 20 * SECOND
-NAMES = st.sampled_from(["s0", "s1", "s2", "s3"])
-BOUNDS = st.builds(
+SERVERS = st.sampled_from(["s0", "s1", "s2", "s3"])
+CONSTRAINTS = st.builds(
     PlacementConstraint,
-    st.none() | st.frozensets(NAMES),
+    st.none() | st.frozensets(SERVERS),
     st.integers(0, 9),
-    st.dictionaries(NAMES, st.sampled_from([0.1, 0.25, 0.5])),
+    st.dictionaries(SERVERS, st.sampled_from([0.1, 0.25, 0.5])),
     st.sampled_from(["", "", "budget", "part"]),
     st.integers(0, 5),
 ).map(lambda each: each if each.reason else PlacementConstraint(each.servers, each.highest_rung, each.costs))
 
 
 class ScriptedProvider:
-    """A guide that says what the test wants and keeps what it is told."""
+    """A constraint provider that answers as the test wants and keeps what it is notified of."""
 
     max_wait_us = 0
 
     def __init__(self, *answers: PlacementConstraint) -> None:
-        self.answers, self.asked, self.heard = list(answers), 0, list[Any]()
+        self.answers, self.requests = list(answers), 0
+        self.notified: list[str] = []
 
     def constraint_for(self, now: int, request: Any) -> PlacementConstraint:
-        self.asked += 1
+        self.requests += 1
         return self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
 
-    def on_event(self, now: int, fact: Any) -> None:
-        self.heard.append(type(fact).__name__)
+    def on_event(self, now: int, event: Any) -> None:
+        self.notified.append(type(event).__name__)
 
 
 def constrained_controller(
     *answers: PlacementConstraint, **changes: Any
 ) -> tuple[Controller, ScriptedProvider]:
-    guide = ScriptedProvider(*answers)
-    made = Controller(settings(retry_after_allowed=True, max_retry_after_us=9 * SECOND, **changes), 7, guide)
+    provider = ScriptedProvider(*answers)
+    made = Controller(
+        settings(retry_after_allowed=True, max_retry_after_us=9 * SECOND, **changes), 7, provider
+    )
     made.handle(0, [servers()])
-    return made, guide
+    return made, provider
 
 
 class ConstraintIntersection(unittest.TestCase):
-    @given(BOUNDS, BOUNDS, BOUNDS)
+    @given(CONSTRAINTS, CONSTRAINTS, CONSTRAINTS)
     def test_intersection_in_any_order_is_equal_and_never_wider(
         self, one: PlacementConstraint, two: PlacementConstraint, three: PlacementConstraint
     ) -> None:
@@ -67,14 +70,14 @@
             self.assertTrue(
                 bool(both.reason) >= bool(each.reason) and both.retry_after_us >= each.retry_after_us
             )
-            for name in ("s0", "s1", "s2", "s3"):
-                self.assertLessEqual(both.admits(name), each.admits(name))
-                self.assertGreaterEqual(both.costs.get(name, 0.0), each.costs.get(name, 0.0))
+            for server in ("s0", "s1", "s2", "s3"):
+                self.assertLessEqual(both.admits(server), each.admits(server))
+                self.assertGreaterEqual(both.costs.get(server, 0.0), each.costs.get(server, 0.0))
 
 
 class ConstraintProviders(unittest.TestCase):
     def test_attempts_go_to_admitted_servers_alone(self) -> None:
-        made, guide = constrained_controller(PlacementConstraint(frozenset({"s1", "s2"})))
+        made, provider = constrained_controller(PlacementConstraint(frozenset({"s1", "s2"})))
         sent = []
         for outcome in ("unreachable", "unreachable"):
             actions = made.handle(
@@ -87,30 +90,30 @@
             of(made.handle(NOW, [AttemptEnded("a", 1, sent[-1], "unreachable")]), ForwardAttempt), []
         )
         self.assertEqual(
-            guide.heard[:4], ["ServerListUpdate", "SessionRequest", "ForwardAttempt", "AttemptEnded"]
+            provider.notified[:4], ["ServerListUpdate", "SessionRequest", "ForwardAttempt", "AttemptEnded"]
         )
 
     def test_constraint_that_changes_between_attempts_holds_for_the_next(self) -> None:
-        made, guide = constrained_controller(
+        made, provider = constrained_controller(
             PlacementConstraint(frozenset({"s1"})),
             PlacementConstraint(reason="moved-on", retry_after_us=3 * SECOND),
         )
         self.assertEqual(
             of(made.handle(NOW, [request("a", NOW, session_class="exam")]), ForwardAttempt)[0].server, "s1"
         )
-        refusal = of(made.handle(NOW, [AttemptEnded("a", 0, "s1", "full")]), RejectSession)
-        self.assertEqual(refusal, [RejectSession("a", 3 * SECOND, "moved-on")])
-        self.assertEqual(guide.heard[-1], "RejectSession")
+        rejections = of(made.handle(NOW, [AttemptEnded("a", 0, "s1", "full")]), RejectSession)
+        self.assertEqual(rejections, [RejectSession("a", 3 * SECOND, "moved-on")])
+        self.assertEqual(provider.notified[-1], "RejectSession")
 
     def test_paid_attempt_that_may_have_run_is_never_rejected(self) -> None:
-        made, guide = constrained_controller(
+        made, provider = constrained_controller(
             UNCONSTRAINED, PlacementConstraint(reason="budget", retry_after_us=SECOND)
         )
         server = of(made.handle(NOW, [request("a", NOW, session_class="exam")]), ForwardAttempt)[0].server
         self.assertEqual(
             of(made.handle(NOW, [AttemptEnded("a", 0, server, "lost")]), FailSession), [FailSession("a")]
         )
-        self.assertEqual(guide.asked, 1)
+        self.assertEqual(provider.requests, 1)
 
     def test_rejection_comes_at_once_with_a_bounded_retry_after(self) -> None:
         made, _ = constrained_controller(PlacementConstraint(reason="part", retry_after_us=60 * SECOND))
@@ -132,15 +135,17 @@
         self.assertEqual(of(made.handle(NOW, [request("a", NOW)]), ForwardAttempt)[0].server, "s2")
 
     def test_combined_providers_are_all_asked_and_notified(self) -> None:
-        guides = [
+        providers = [
             ScriptedProvider(PlacementConstraint(frozenset({"s1", "s2"}))),
             ScriptedProvider(PlacementConstraint(frozenset({"s2", "s3"}))),
         ]
-        made = Controller(settings(), 7, CombinedProviders(guides))
+        made = Controller(settings(), 7, CombinedProviders(providers))
         made.handle(0, [servers()])
         self.assertEqual(of(made.handle(NOW, [request("a", NOW)]), ForwardAttempt)[0].server, "s2")
         made.handle(NOW, [SessionStarted("a", 0, "s2")])
-        self.assertEqual([guide.heard[-1] for guide in guides], ["SessionStarted", "SessionStarted"])
+        self.assertEqual(
+            [provider.notified[-1] for provider in providers], ["SessionStarted", "SessionStarted"]
+        )
 
     def test_controller_without_a_provider_is_unconstrained(self) -> None:
         made = controller()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -132,7 +132,7 @@
 
 
 class SignalsAtStart(unittest.TestCase):
-    """Signals that come while a broker reads its configuration, which waits in a pipe for as long as the test likes."""
+    """Signals that come while a broker reads its configuration, from a pipe that the test holds open."""
 
     def begin(self, *signals: signal.Signals) -> World:
         world = World()
@@ -174,7 +174,7 @@
         """)
 
     def test_sighup_before_the_program_is_loaded_does_not_end_it(self) -> None:
-        """As the platform starts it: SIGHUP comes while the interpreter itself is still about to read the program."""
+        """Started as by the platform: SIGHUP comes before the interpreter has read the program."""
         world = World(command=["/bin/sh", "-c", RUN.replace("exec ", "kill -HUP $$; exec ")])
         self.addCleanup(world.end)
         world.play("""
--- a/tests/test_viewer_eviction.py
+++ b/tests/test_viewer_eviction.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import unittest
+from collections.abc import Callable
 from dataclasses import asdict
 from typing import Any
 from unittest.mock import Mock
@@ -25,19 +26,18 @@
 from lotuspick.transport.rtsp.rtsp_server import RtspServer
 
 
+def make_dispatcher(clock: Callable[[], int]) -> SessionDispatcher:
+    """A dispatcher whose decisions do nothing."""
+    decisions = Mock(handle=Mock(return_value=[]))
+    return SessionDispatcher(decisions, Mock(), clock, lambda at: None, 1_000, frozenset({"clip"}))
+
+
 class ViewerEviction(unittest.TestCase):
     """Which viewer connections make room."""
 
     def test_idle_connections_are_closed_many_at_once_and_shared_ones_one_by_one(self) -> None:
         now = [0]
-        made = SessionDispatcher(
-            Mock(handle=Mock(return_value=[])),
-            Mock(),
-            lambda: now[0],
-            lambda at: None,
-            1_000,
-            frozenset({"clip"}),
-        )
+        made = make_dispatcher(lambda: now[0])
         shared = [Mock(is_open=True, last_message_us=1 + number) for number in range(3)]
         crowd = [Mock(is_open=True, last_message_us=0) for _ in range(40)]
         for viewer in shared:
@@ -78,16 +78,16 @@
         class Pipe(StringTransport):
             shut = False
 
-            def setTcpNoDelay(self, on: bool) -> None:
+            def setTcpNoDelay(self, on: bool) -> None:  # noqa: N802  # Twisted's name
                 pass
 
             def fileno(self) -> int:
                 return -1
 
-            def getHandle(self) -> Any:
+            def getHandle(self) -> Any:  # noqa: N802  # Twisted's name
                 return Mock(shutdown=lambda how: setattr(self, "shut", True))
 
-            def abortConnection(self) -> None:
+            def abortConnection(self) -> None:  # noqa: N802  # Twisted's name
                 """The reactor tells of the end in its next look."""
 
         def come() -> RtspConnection:
