--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -40,8 +40,12 @@
 def test_request_is_sent_and_each_batch_answered() -> None:
     done = run(f"{OPEN}ROUND TimeUs=1010000\nTO I=3\n{KNOCK}EOF_BATCH\nROUND TimeUs=1020000\nEOF_BATCH\n")
     replies = done.stdout.split("NEXT\n")
-    assert done.returncode == 0 and len(replies) == 4 and replies[3] == "" and done.stderr == ""
-    assert replies[1].startswith("ON_BEHALF I=3\n") and "PLACE Tid=r-1 Host=h" in replies[1]
+    assert done.returncode == 0
+    assert len(replies) == 4
+    assert replies[3] == ""
+    assert done.stderr == ""
+    assert replies[1].startswith("ON_BEHALF I=3\n")
+    assert "PLACE Tid=r-1 Host=h" in replies[1]
     assert replies[2] == ""
 
 
@@ -64,13 +68,16 @@
 )
 def test_malformed_line_is_named_and_ends_the_process(line: str, wrong: str) -> None:
     done = run(f"{OPEN}ROUND TimeUs=1010000\nTO I=3\n{line}\nEOF_BATCH\n")
-    assert done.returncode == 2 and wrong in done.stderr and "line 11" in done.stderr
+    assert done.returncode == 2
+    assert wrong in done.stderr
+    assert "line 11" in done.stderr
     assert done.stdout == "NEXT\n"
 
 
 def test_input_cut_inside_a_batch() -> None:
     done = run(OPEN.replace("EOF_BATCH\n", ""))
-    assert done.returncode == 2 and "inside a batch" in done.stderr
+    assert done.returncode == 2
+    assert "inside a batch" in done.stderr
 
 
 def test_faults_of_one_instance_are_told_on_the_wire_and_leave_others_alone() -> None:
@@ -83,7 +90,8 @@
     replies = done.stdout.split("NEXT\n")
     assert "ON_BEHALF I=4\nBUG ReasonText=settings: FamilyInfo.Cells is missing" in replies[0]
     assert "PLACE Tid=r-1" in replies[1]
-    assert "BUG ReasonText=ValueError" in replies[2] and "nosuch" in replies[2]
+    assert "BUG ReasonText=ValueError" in replies[2]
+    assert "nosuch" in replies[2]
 
 
 def test_late_events_and_unknown_columns_are_passed_over() -> None:
@@ -93,13 +101,15 @@
         "TIMED_OUT_CLIENT Tid=r-9\nWAKE Handle=99\nUNDER_WAY Tid=r-9 Host=h0:1 TookUs=5 Shot=0\n"
     )
     done = run(f"{OPEN}ROUND TimeUs=1010000\nTO I=3\n{late}EOF_BATCH\n")
-    assert done.returncode == 0 and done.stdout.endswith("NEXT\nNEXT\n")
+    assert done.returncode == 0
+    assert done.stdout.endswith("NEXT\nNEXT\n")
 
 
 def test_teardown_and_a_new_start_in_one_batch() -> None:
     again = OPEN.replace("TO I=3\n", "TO I=3\nTEARDOWN\n", 1)
     done = run(f"{OPEN}ROUND TimeUs=1010000\nTO I=3\n{KNOCK}EOF_BATCH\n{again}")
-    assert done.returncode == 0 and done.stdout.count("NEXT") == 3
+    assert done.returncode == 0
+    assert done.stdout.count("NEXT") == 3
 
 
 def test_missing_setting_is_named() -> None:
@@ -128,4 +138,5 @@
     with pytest.raises(ValueError, match=rf"{key}.*{bad}"):
         read_settings(pairs)
     done = run(OPEN.replace(PAIRS, " ".join(f"{name}={value}" for name, value in pairs.items())))
-    assert f"BUG ReasonText=settings: {key}" in done.stdout and bad in done.stdout
+    assert f"BUG ReasonText=settings: {key}" in done.stdout
+    assert bad in done.stdout
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -82,5 +82,7 @@
 def test_a_viewer_below_the_floor_of_the_class_is_refused() -> None:
     made = controller(classes=[ClassSettings("clip", SECOND, lowest_rung=2)])
     actions = made.handle(NOW, [request("a", NOW, highest_rung=1)])
-    assert of(actions, RejectSession) and not of(actions, ForwardAttempt) and not of(actions, SetRung)
+    assert of(actions, RejectSession)
+    assert not of(actions, ForwardAttempt)
+    assert not of(actions, SetRung)
     assert not made.sessions
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -45,7 +45,7 @@
     own = set()
     for descriptor in Path(f"/proc/{pid}/fd").iterdir():
         try:
-            own.add(os.readlink(descriptor).removeprefix("socket:[").removesuffix("]"))
+            own.add(str(descriptor.readlink()).removeprefix("socket:[").removesuffix("]"))
         except FileNotFoundError:
             continue
     found = {}
@@ -64,7 +64,7 @@
         self.addCleanup(world.end)
         pid = world.broker.process.pid
         world.play(PLAYING)
-        self.assertTrue(os.path.samefile(f"/proc/{pid}/exe", os.path.realpath(sys.executable)))
+        self.assertTrue(Path(f"/proc/{pid}/exe").samefile(os.path.realpath(sys.executable)))
         tasks = list(Path(f"/proc/{pid}/task").iterdir())
         self.assertEqual([(task / "children").read_text() for task in tasks], [""] * len(tasks))
         maps = Path(f"/proc/{pid}/maps").read_text()
