--- a/lotuspick/plugin.py
+++ b/lotuspick/plugin.py
@@ -5,7 +5,7 @@
 
     plugin = Plugin(settings, seed=7, calls=calls)
     plugin.servers(ServerListUpdate([...], complete=True))
-    plugin.ask(request, on_answer)             # one Served, Refused or Failed, later Released after a Served
+    plugin.request(request, on_answer)         # one Served, Rejected or Failed, later Released after a Served
     plugin.answered(server, session, payload)  # the call that Calls.start started was answered
     plugin.ended(server, session, TerminationReason.RESET)
     threading.Thread(target=plugin.run).start()
@@ -53,7 +53,7 @@
     "Calls",
     "Failed",
     "Plugin",
-    "Refused",
+    "Rejected",
     "Released",
     "Served",
     "TerminationReason",
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class Rejected:
     """The request was rejected and nothing ran; it may be retried after ``retry_after_ms``."""
 
     session: str
@@ -98,7 +98,7 @@
     reason: TerminationReason
 
 
-Answer = Served | Refused | Failed | Released
+Answer = Served | Rejected | Failed | Released
 
 
 class Calls(Protocol):
@@ -155,7 +155,7 @@
         self.on_answer(Served(session, description))
 
     def rejected(self, session: str, retry_after_ms: int, reason: str = "") -> None:
-        self.on_answer(Refused(session, retry_after_ms, reason))
+        self.on_answer(Rejected(session, retry_after_ms, reason))
 
     def failed(self, session: str, reason: str = "") -> None:  # noqa: ARG002
         self.on_answer(Failed(session))
@@ -186,7 +186,7 @@
         calls: Calls,
         clock: Callable[[], int] = unix_us,
         period_us: int = PERIOD_US,
-        guide: ConstraintProvider | None = None,
+        constraint_provider: ConstraintProvider | None = None,
     ) -> None:
         """Start without servers and sessions.
 
@@ -196,11 +196,11 @@
             calls: how calls are started and cancelled.
             clock: gives the current time in microseconds.
             period_us: between two ticks of the dispatcher.
-            guide: narrows where sessions may be placed; None: nothing does.
+            constraint_provider: narrows where sessions may be placed; None: nothing does.
         """
         self.clock = clock
-        self.loop = SessionDispatcher(
-            Controller(settings, seed, guide),
+        self.dispatcher = SessionDispatcher(
+            Controller(settings, seed, constraint_provider),
             _CallsAsEdgeServers(calls),
             clock,
             self._wake,
@@ -218,15 +218,17 @@
         """Take the endpoint list, or a change of it."""
         self.post(EndpointListChanged(update))
 
-    def ask(self, request: SessionRequest, on_answer: Callable[[Answer], None], payload: bytes = b"") -> None:
+    def request(
+        self, request: SessionRequest, on_answer: Callable[[Answer], None], payload: bytes = b""
+    ) -> None:
         """Request a session; its deadline is on this plug-in's clock.
 
-        ``on_answer`` gets one :class:`Served`, :class:`Refused` or :class:`Failed`, and after a
+        ``on_answer`` gets one :class:`Served`, :class:`Rejected` or :class:`Failed`, and after a
         :class:`Served` one :class:`Released`.
         """
         self.post(SessionRequested(request, payload, _Requester(on_answer)))
 
-    def drop(self, session: str) -> None:
+    def cancel(self, session: str) -> None:
         """Cancel a request, or end a session that plays."""
         self.post(SessionCancelled(session))
 
@@ -244,11 +246,11 @@
         """Report that a call ended without an answer, or that a session that played has ended."""
         self.post(EdgeServerReleased(server, session, reason, reason, load_report or {}))
 
-    def lost(self, server: str, reason: TerminationReason = TerminationReason.RESET) -> None:
+    def server_failed(self, server: str, reason: TerminationReason = TerminationReason.RESET) -> None:
         """Report that a server has failed, and all sessions there with it."""
         self.post(EdgeServerFailed(server, reason))
 
-    def noted(self, server: str, session: str, topic: ReadingTopic, value: float) -> None:
+    def notified(self, server: str, session: str, topic: ReadingTopic, value: float) -> None:
         """Report a value on a session that plays; ``topic`` is one of SHARE, RUNG, LINK, RACK."""
         self.post(EdgeServerNotified(server, session, topic, value))
 
@@ -273,7 +275,7 @@
             due_us, now = self._due_us, self.clock()
             if due_us is not None and due_us <= now:
                 self._due_us = None
-                self.loop.tick()
+                self.dispatcher.tick()
                 due_us = self._due_us
             return None if due_us is None else max(0.0, (due_us - self.clock()) / US_PER_S)
 
@@ -288,14 +290,14 @@
     def close(self) -> None:
         """End the sessions that play, and let :meth:`run` return."""
         with self._changed:
-            self.loop.release_all()
+            self.dispatcher.release_all()
             self._closed = True
             self._changed.notify_all()
 
     def post(self, message: InboundMessage) -> None:
         """Post a message to the dispatcher, as constraint providers do: see ``program/entitlement.py``."""
         with self._changed:
-            self.loop.post(message)
+            self.dispatcher.post(message)
 
     def _wake(self, at_us: int) -> None:
         with self._changed:
--- a/lotuspick/program/components.py
+++ b/lotuspick/program/components.py
@@ -165,11 +165,11 @@
         from lotuspick.transport.http.edge_server_router import EdgeServerRouter
         from lotuspick.transport.http.media_nodes import MediaNodePool
 
-        told = self.broker.config
+        config = self.broker.config
         pool = MediaNodePool(
             self.broker.reactor,
-            dict(told.hints.nodes),
-            told.dial_us / SECOND,
+            dict(config.hints.nodes),
+            config.dial_us / SECOND,
             self.broker.post,
             self.broker.sessions_at,
         )
@@ -179,12 +179,12 @@
         """Start the subsystem."""
         from lotuspick.transport.http.http_server import HttpServer
 
-        broker, told = self.broker, self.broker.config
+        broker, config = self.broker, self.broker.config
         self.site = HttpServer(
             broker.reactor, broker.post, broker.is_ready, broker.terms, broker.renew_token
-        ).site(told.sockets // 6)
+        ).site(config.sockets // 6)
         self.listener = broker.reactor.listenTCP(
-            told.hints.port, self.site, backlog=BACKLOG, interface=told.hints.host
+            config.hints.port, self.site, backlog=BACKLOG, interface=config.hints.host
         )
         log.info("http_serving", extra={"listen": "{0.host}:{0.port}".format(self.listener.getHost())})
 
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""The decisions of cells, without sockets: the file, the map, moves, budgets, and the guide under any sequence."""
+"""The decisions of cells, without sockets: the file, the map, moves, budgets, and the constraints under any sequence."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     return ServerListUpdate([entry(at, **changes) for at in range(count)], complete=True)
 
 
-def guide(made: Plan, count: int = COUNT) -> CellConstraints:
+def cell_constraints(made: Plan, count: int = COUNT) -> CellConstraints:
     fresh = CellConstraints(made, count)
     fresh.on_event(0, roster(count))
     return fresh
@@ -346,7 +346,7 @@
         )
 
     def test_a_storm_leaves_the_other_tenants_of_its_cell_their_budget(self) -> None:
-        made = guide(plan(ASSIGNED))
+        made = cell_constraints(plan(ASSIGNED))
         for at in range(100):
             self.ask(made, f"s{at}", returned=True)
         self.assertEqual(self.ask(made, "s", returned=True).reason, "budget-tenant")
@@ -355,13 +355,13 @@
         self.assertEqual(self.ask(made, "u", tenant="u", returned=True).reason, "")
 
     def test_who_asks_again_is_known_without_being_marked(self) -> None:
-        made = guide(plan(ASSIGNED))
+        made = cell_constraints(plan(ASSIGNED))
         reasons = [self.ask(made, f"s{at}", viewer="v").reason for at in range(6)]
         self.assertEqual(reasons[0], "")
         self.assertEqual(reasons[-1], "budget-tenant")
 
     def test_a_session_cut_by_its_node_comes_again_for_nothing(self) -> None:
-        made = guide(plan(ASSIGNED))
+        made = cell_constraints(plan(ASSIGNED))
         for at in range(8):
             self.ask(made, f"s{at}", viewer=f"v{at}")
             made.on_event(NOW, ForwardAttempt(f"s{at}", "s0", SECOND))
@@ -377,7 +377,7 @@
         )
 
     def test_further_attempts_are_of_the_same_budget(self) -> None:
-        made = guide(plan(ASSIGNED))
+        made = cell_constraints(plan(ASSIGNED))
         outcomes = []
         for at in range(12):
             self.ask(made, f"s{at}")
@@ -395,13 +395,13 @@
         self.assertEqual(outcomes.count(""), 7)  # floor 1 and half of 12 first tries
 
     def test_open_set_ups_are_bounded_and_free_again(self) -> None:
-        made = guide(plan(ASSIGNED + "[budgets.tenant]\nopen = 2\n"))
+        made = cell_constraints(plan(ASSIGNED + "[budgets.tenant]\nopen = 2\n"))
         self.assertEqual([self.ask(made, f"s{at}").reason for at in range(3)], ["", "", "open-tenant"])
         made.on_event(NOW, ViewerDisconnected("s0"))
         self.assertEqual(self.ask(made, "s9").reason, "")
 
     def test_a_part_binds_only_while_the_cell_is_contended(self) -> None:
-        made = guide(plan(ASSIGNED.replace('cell = "a"', 'cell = "a"\nweight = 1')))
+        made = cell_constraints(plan(ASSIGNED.replace('cell = "a"', 'cell = "a"\nweight = 1')))
 
         def stand(count: int, tenant: str) -> list[str]:
             reasons = []
@@ -426,7 +426,7 @@
             ("spill", "spill = ['c', 'b']", {"s2", "s3", "s4"}),
         ):
             cells = CELLS.replace("[cells.a]", f"[cells.a]\nelsewhere = 0.5\nsmall = '{policy}'\n{more}")
-            made = guide(plan(ASSIGNED, cells))
+            made = cell_constraints(plan(ASSIGNED, cells))
             bounds = self.ask(made, "x", home_position=2, copies=3)
             self.assertEqual(bounds.servers, servers, policy)
             self.assertEqual(bounds.reason, "" if servers else "too-small")
@@ -440,7 +440,7 @@
                 )  # the share is used up
 
     def test_a_cell_that_loses_its_last_node_says_so_and_follows_its_policy(self) -> None:
-        made = guide(plan(ASSIGNED))
+        made = cell_constraints(plan(ASSIGNED))
         made.take_events()
         made.on_event(
             NOW, ServerListUpdate([entry(at, state="draining" if at else "gone") for at in range(4)])
@@ -458,7 +458,7 @@
             ASSIGNED
             + '[[moves]]\ntenant = "t"\nto = "b"\nepoch = 1\nstart = 110\nprepare_s = 5\nshift_s = 10\ndrain_s = 50\n'
         )
-        made = guide(plan("epoch = 2\n" + text))
+        made = cell_constraints(plan("epoch = 2\n" + text))
         self.ask(made, "x")
         made.on_event(NOW, ForwardAttempt("x", "s0", SECOND))
         made.on_event(NOW, SessionStarted("x", 0, "s0"))
@@ -480,7 +480,7 @@
             + ASSIGNED
             + '[[moves]]\ntenant = "t"\nto = "b"\nepoch = 1\nstart = 100\nprepare_s = 0\nshift_s = 100\n'
         )
-        old, new = guide(plan(text)), guide(plan(text))
+        old, new = cell_constraints(plan(text)), cell_constraints(plan(text))
         old.constraint_for(90 * SECOND, request("early", 90 * SECOND, tenant="t", copies=COUNT))
         for at in range(60):
             now = (100 + 2 * at) * SECOND
@@ -488,7 +488,7 @@
         self.assertEqual(old.migrations.stages, new.migrations.stages)
 
     def test_plans_are_taken_in_the_order_of_their_epochs(self) -> None:
-        made = guide(plan("epoch = 5\n" + ASSIGNED))
+        made = cell_constraints(plan("epoch = 5\n" + ASSIGNED))
         self.ask(made, "x")
         made.on_event(NOW, ForwardAttempt("x", "s0", SECOND))
         for text, wanted in (("epoch = 4\n", "must not fall"), ("epoch = 5\n", "must rise")):
@@ -507,7 +507,7 @@
         )
 
     def test_lines_on_one_matter_are_bounded(self) -> None:
-        made = guide(plan(ASSIGNED))
+        made = cell_constraints(plan(ASSIGNED))
         for at in range(500):
             self.ask(made, f"s{at}", returned=True)
         self.assertEqual(sum(each.name == "session_rejected" for each in made.take_events()), 1)
@@ -521,7 +521,7 @@
             ASSIGNED
             + '[[moves]]\ntenant = "t"\nto = "b"\nepoch = 1\nstart = 101\nprepare_s = 0\nshift_s = 0\n'
         )
-        cells = guide(plan(text))
+        cells = cell_constraints(plan(text))
         made = Controller(
             settings(positions=COUNT, retry_after_allowed=True, max_retry_after_us=9 * SECOND), 7, cells
         )
@@ -548,7 +548,9 @@
             (1, ASSIGNED, {"s0", "s1", "s2", "s3"}),
             (2, text, {"s4", "s5", "s6", "s7"}),
         ):
-            made = Controller(settings(positions=COUNT), 7, guide(plan(f"epoch = {epoch}\n" + told)))
+            made = Controller(
+                settings(positions=COUNT), 7, cell_constraints(plan(f"epoch = {epoch}\n" + told))
+            )
             made.handle(0, [roster()])
             self.assertIn(
                 of(made.handle(NOW, [request("x", NOW, tenant="t", copies=COUNT)]), ForwardAttempt)[0].server,
@@ -557,16 +559,21 @@
 
 
 class Sequences(RuleBasedStateMachine):
-    """Whatever happens in whatever order, the guide's counts are those of the sessions that it holds."""
+    """Whatever happens in whatever order, the counts of the constraints are those of the sessions that it holds."""
 
     @initialize()
     def begin(self) -> None:
         moving = '[[moves]]\ntenant = "t"\nto = "b"\nepoch = 1\nstart = 105\nprepare_s = 2\nshift_s = 5\ndrain_s = 10\n'
-        self.guide, self.now, self.made, self.epoch = guide(plan(ASSIGNED + moving)), NOW, 0, 1
+        self.constraints, self.now, self.made, self.epoch = (
+            cell_constraints(plan(ASSIGNED + moving)),
+            NOW,
+            0,
+            1,
+        )
         self.moving = moving
 
     def some(self, data: st.DataObject, stands: bool | None = None) -> str:
-        names = [name for name, held in self.guide.sessions.items() if stands in (None, held.playing)]
+        names = [name for name, held in self.constraints.sessions.items() if stands in (None, held.playing)]
         return data.draw(st.sampled_from(names)) if names else "nobody"
 
     @rule(
@@ -579,7 +586,7 @@
     )
     def ask(self, tenant: str, viewer: int, returned: bool, moved: bool, home: int, copies: int) -> None:
         self.made += 1
-        bounds = self.guide.constraint_for(
+        bounds = self.constraints.constraint_for(
             self.now,
             request(
                 f"q{self.made}",
@@ -593,14 +600,18 @@
             ),
         )
         assert (
-            bool(bounds.reason) == (bounds.retry_after_us > 0) == (f"q{self.made}" not in self.guide.sessions)
+            bool(bounds.reason)
+            == (bounds.retry_after_us > 0)
+            == (f"q{self.made}" not in self.constraints.sessions)
         )
         if not bounds.reason:
-            assert bounds.servers is not None and bounds.servers <= self.guide.directory.holders(home, copies)
+            assert bounds.servers is not None and bounds.servers <= self.constraints.directory.holders(
+                home, copies
+            )
 
     @rule(data=st.data(), server=st.integers(0, 11))
     def send(self, data: st.DataObject, server: int) -> None:
-        self.guide.on_event(self.now, ForwardAttempt(self.some(data, False), f"s{server}", SECOND))
+        self.constraints.on_event(self.now, ForwardAttempt(self.some(data, False), f"s{server}", SECOND))
 
     @rule(
         data=st.data(),
@@ -608,19 +619,25 @@
     )
     def told(self, data: st.DataObject, kind: str) -> None:
         name = self.some(data)
-        node = self.guide.sessions[name].server if name in self.guide.sessions else "s0"
+        node = self.constraints.sessions[name].server if name in self.constraints.sessions else "s0"
         fact = {
             "start": SessionStarted(name, 0, node),
             "refuse": RejectSession(name),
             "fail": FailSession(name),
             "gone": ViewerDisconnected(name),
         }.get(kind, AttemptEnded(name, 0, node, kind, final=kind == "served", load_report={"link": 1.1}))
-        if kind == "again" and name in self.guide.sessions and not self.guide.sessions[name].playing:
-            self.guide.constraint_for(self.now, self.guide.sessions[name].request)
+        if (
+            kind == "again"
+            and name in self.constraints.sessions
+            and not self.constraints.sessions[name].playing
+        ):
+            self.constraints.constraint_for(self.now, self.constraints.sessions[name].request)
         elif kind != "again" and not (
-            kind in ("refuse", "fail") and name in self.guide.sessions and self.guide.sessions[name].playing
+            kind in ("refuse", "fail")
+            and name in self.constraints.sessions
+            and self.constraints.sessions[name].playing
         ):
-            self.guide.on_event(self.now, fact)
+            self.constraints.on_event(self.now, fact)
 
     @rule(seconds=st.integers(-3, 8))
     def wait(self, seconds: int) -> None:
@@ -628,13 +645,13 @@
 
     @rule(at=st.integers(0, 11), state=st.sampled_from(["active", "draining", "gone"]))
     def roster(self, at: int, state: str) -> None:
-        self.guide.on_event(self.now, ServerListUpdate([entry(at, state=state)]))
+        self.constraints.on_event(self.now, ServerListUpdate([entry(at, state=state)]))
 
     @rule(server=st.integers(0, 11))
     def playing(self, server: int) -> None:
         self.made += 1
         ask = request(f"p{self.made}", self.now, tenant="t")
-        self.guide.on_event(
+        self.constraints.on_event(
             self.now,
             SessionPlaying(
                 ask.session,
@@ -657,20 +674,20 @@
     )
     def take(self, cells: str) -> None:
         self.epoch += 1
-        self.guide.apply_plan(plan(f"epoch = {self.epoch}\n" + ASSIGNED + self.moving, cells), self.now)
+        self.constraints.apply_plan(plan(f"epoch = {self.epoch}\n" + ASSIGNED + self.moving, cells), self.now)
 
     @invariant()
     def counts_are_those_of_the_sessions(self) -> None:
-        held = list(self.guide.sessions.values())
-        for name, state in self.guide.statuses.items():
+        held = list(self.constraints.sessions.values())
+        for name, state in self.constraints.statuses.items():
             assert state.budget.sessions_by_cell.get(name, 0) == sum(name in each.counted_in for each in held)
             assert state.budget.open_setups == sum(each.cell == name and not each.playing for each in held), (
                 name
             )
         for account in (
-            *self.guide.tenants.budgets.values(),
-            self.guide.tenants.shared,
-            *self.guide.tenants.named_budgets.values(),
+            *self.constraints.tenants.budgets.values(),
+            self.constraints.tenants.shared,
+            *self.constraints.tenants.named_budgets.values(),
         ):
             assert account.open_setups == sum(each.tenant is account and not each.playing for each in held)
             assert sum(account.sessions_by_cell.values()) == sum(
--- a/tests/test_cells_live.py
+++ b/tests/test_cells_live.py
@@ -20,7 +20,7 @@
 from lotuspick.cells.model import PlanError
 from lotuspick.cells.plan_file import parse
 from lotuspick.core.events import ServerListUpdate
-from lotuspick.plugin import Answer, Plugin, Refused
+from lotuspick.plugin import Answer, Plugin, Rejected
 
 PLAN = """
 epoch = 1
@@ -141,13 +141,15 @@
             7,
             library,
             clock=lambda: now,
-            guide=guide,
+            constraint_provider=guide,
         )
         plugin.servers(ServerListUpdate([entry(0), entry(1)], complete=True))
 
         def ask(session: str, **changes: Any) -> None:
             nonlocal now
-            plugin.ask(request(session, now, **{"copies": 2, "tenant": "calm", **changes}), answers.append)
+            plugin.request(
+                request(session, now, **{"copies": 2, "tenant": "calm", **changes}), answers.append
+            )
             now += SECOND // 10
             plugin.step()
 
@@ -158,7 +160,7 @@
         self.assertEqual(library.did[-1][1], "s1")
         for name in ("c", "d", "e"):
             ask(name, viewer="v", returned=True)
-        self.assertEqual([type(answer) for answer in answers][-1:], [Refused])
+        self.assertEqual([type(answer) for answer in answers][-1:], [Rejected])
         with self.assertRaisesRegex(PlanError, "epoch must not fall"):
             plugin.change(lambda at: guide.apply_plan(parse(tomllib.loads(PLAN)), at))
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -217,9 +217,9 @@
         told = list[Any]()
         made.servers(ServerListUpdate([entry(0, state="draining")], complete=True))
         for session in ("left", "stayed"):
-            made.ask(request(session, NOW, copies=1, deadline_us=NOW + 9 * SECOND), told.append)
+            made.request(request(session, NOW, copies=1, deadline_us=NOW + 9 * SECOND), told.append)
         go_on()
-        made.drop("left")
+        made.cancel("left")
         made.servers(ServerListUpdate([entry(0)]))
         go_on()
         self.assertEqual([call.args[1].session for call in calls.start.call_args_list], ["stayed"])
@@ -228,16 +228,16 @@
         now, calls = [NOW], Mock(cancel=Mock(return_value=True))
         made = Plugin(settings(), 1, calls, clock=lambda: now[0])
         made.servers(ServerListUpdate([entry(0)], complete=True))
-        made.ask(request("a", NOW, copies=1), Mock())
+        made.request(request("a", NOW, copies=1), Mock())
         for _ in range(3):
             made.step()
             now[0] += 20_000
-        made.drop("a")
+        made.cancel("a")
         for _ in range(3):
             made.step()
             now[0] += 20_000
         calls.cancel.assert_called_once_with("s0", "a")
-        self.assertEqual(made.loop.sessions.entries, {})
+        self.assertEqual(made.dispatcher.sessions.entries, {})
 
     def test_an_http_node_that_is_still_dialled_is_dialled_no_more(self) -> None:
         reactor, posted = MemoryReactorClock(), list[Any]()
@@ -247,7 +247,7 @@
         pool.cancel_attempt("n", "0" * 16)
         self.assertTrue(reactor.connectors[0].stoppedConnecting)
         self.assertFalse(
-            [each for each in posted if getattr(each, "ending", None) is TerminationReason.NO_ANSWER]
+            [each for each in posted if getattr(each, "reason", None) is TerminationReason.NO_ANSWER]
         )
 
 
--- a/tests/test_plugin.py
+++ b/tests/test_plugin.py
@@ -17,7 +17,7 @@
     AttemptRequest,
     Failed,
     Plugin,
-    Refused,
+    Rejected,
     Released,
     Served,
     TerminationReason,
@@ -63,7 +63,9 @@
         self.plugin.servers(ServerListUpdate([entry(0), entry(1)], complete=True))
 
     def ask(self, session: str, **changes: Any) -> None:
-        self.plugin.ask(request(session, self.now, **{"copies": 2, **changes}), self.answers.append, b"call")
+        self.plugin.request(
+            request(session, self.now, **{"copies": 2, **changes}), self.answers.append, b"call"
+        )
 
     def run_for(self, us: int) -> None:
         end = self.now + us
@@ -104,14 +106,14 @@
             self.run_for(SECOND // 10)
             self.now += 20 * SECOND  # the process stood still past the deadline
             self.run_for(SECOND // 10)
-            self.assertEqual(self.answers.pop(), Failed(session) if sent else Refused(session, 1_000))
+            self.assertEqual(self.answers.pop(), Failed(session) if sent else Rejected(session, 1_000))
             self.plugin.servers(ServerListUpdate([entry(0), entry(1)], complete=True))
-            self.assertEqual(self.plugin.loop.sessions.entries, {})
+            self.assertEqual(self.plugin.dispatcher.sessions.entries, {})
 
     def test_a_refusal_says_when_to_come_back(self) -> None:
         self.ask("a", home_position=3, copies=1)
         self.run_for(5 * SECOND)
-        self.assertEqual(self.answers, [Refused("a", 1_000)])
+        self.assertEqual(self.answers, [Rejected("a", 1_000)])
 
     def test_a_lost_server_ends_what_stood_there(self) -> None:
         self.ask("a")
@@ -119,9 +121,9 @@
         server = self.library.did[-1][1]
         self.plugin.answered(server, "a")
         self.plugin.hinted(ServerHint(server, 100.0))
-        self.plugin.noted(server, "a", "link", 0.5)
+        self.plugin.notified(server, "a", "link", 0.5)
         self.run_for(SECOND // 10)
-        self.plugin.lost(server)
+        self.plugin.server_failed(server)
         self.run_for(SECOND // 10)
         self.assertEqual(self.answers[1:], [Released("a", TerminationReason.RESET)])
 
@@ -131,18 +133,18 @@
             self.ask(f"q{queued}", session_class="exam", copies=1)
             self.run_for(6 * SECOND)
         # One that never left its queue may be refused; the other may have run.
-        self.assertEqual([type(each) for each in self.answers], [Refused, Failed])
+        self.assertEqual([type(each) for each in self.answers], [Rejected, Failed])
 
     def test_dropped_sessions_are_cancelled_or_released(self) -> None:
         self.ask("a")
         self.run_for(SECOND // 10)
-        self.plugin.drop("a")
+        self.plugin.cancel("a")
         self.run_for(SECOND // 10)
         self.assertEqual(self.library.did[-1][0], "cancel")
         self.ask("b")
         self.run_for(SECOND // 10)
         self.plugin.answered(self.library.did[-1][1], "b")
-        self.plugin.drop("b")
+        self.plugin.cancel("b")
         self.run_for(SECOND // 10)
         self.assertEqual(self.library.did[-1][0], "release")
         self.assertEqual(self.answers, [Served("b", b"")])
@@ -158,7 +160,7 @@
         thread = threading.Thread(target=plugin.run)
         thread.start()
         plugin.servers(ServerListUpdate([entry(0)], complete=True))
-        plugin.ask(request("a", plugin.clock(), copies=1), lambda answer: answered.set())
+        plugin.request(request("a", plugin.clock(), copies=1), lambda answer: answered.set())
         self.assertTrue(answered.wait(20))
         plugin.close()
         thread.join(20)
--- a/tests/test_seats_guide.py
+++ b/tests/test_seats_guide.py
@@ -1,4 +1,4 @@
-"""The guide of seats round the real core: write-ahead, doubts, renewals, clock steps, a full disk; and the auditor."""
+"""The constraints of entitlement around the real core: write-ahead, doubts, renewals, clock steps, a full disk; and the auditor."""
 
 from __future__ import annotations
 
@@ -62,13 +62,15 @@
 
     def begin(self, ledger: Ledger) -> None:
         rules = EntitlementRules(frozenset({"exam"}))
-        self.guide = SeatConstraints(rules, checker(), ledger, self.disk, lambda: self.wall)
+        self.constraints = SeatConstraints(rules, checker(), ledger, self.disk, lambda: self.wall)
         classes = [
             ClassSettings("clip", SECOND),
             ClassSettings("exam", SECOND, retry_safety=RetrySafety.NOT_IDEMPOTENT),
         ]
         self.core = Controller(
-            settings(classes=classes, retry_after_allowed=True, max_retry_after_us=9 * SECOND), 7, self.guide
+            settings(classes=classes, retry_after_allowed=True, max_retry_after_us=9 * SECOND),
+            7,
+            self.constraints,
         )
         self.core.handle(0, [servers()])
 
@@ -134,7 +136,7 @@
         self.disk.work()
         self.assertFalse(self.disk.written["A"].counted)
         self.disk.fault = ""
-        self.guide.sweep(self.now)
+        self.constraints.sweep(self.now)
         self.disk.work()
         self.assertTrue(self.disk.written["A"].counted)
         self.tell(AttemptEnded("a", 0, server, "served", True))
@@ -162,11 +164,11 @@
             [sent] = of(self.ask(outcome, copies=1, home_position=home), ForwardAttempt)
             self.tell(AttemptEnded(outcome, 0, sent.server, outcome))
             self.tell(ViewerDisconnected(outcome))
-            self.assertIs(self.guide.ledger.records["A"].state, State.FREE)
+            self.assertIs(self.constraints.ledger.records["A"].state, State.FREE)
         [sent] = of(self.ask("c", home_position=2), ForwardAttempt)
         self.tell(ViewerDisconnected("c"), AttemptEnded("c", 0, sent.server, "cancelled", True))
-        self.assertIs(self.guide.ledger.records["A"].state, State.DOUBT)
-        self.assertEqual(self.guide.sessions, {})
+        self.assertIs(self.constraints.ledger.records["A"].state, State.DOUBT)
+        self.assertEqual(self.constraints.sessions, {})
 
     def test_proof_that_comes_ahead_of_the_end_of_its_attempt_settles_it(self) -> None:
         for session, ran, state in (("a", False, State.FREE), ("b", True, State.VACANT)):
@@ -174,20 +176,20 @@
             self.tell(ViewerDisconnected(session))
             self.tell(AttemptResolved(session, sent.server, ran))
             self.tell(AttemptEnded(session, 0, sent.server, "cancelled", True))
-            self.assertIs(self.guide.ledger.records["A"].state, state)
-            self.assertEqual(self.guide.sessions, {})
+            self.assertIs(self.constraints.ledger.records["A"].state, state)
+            self.assertEqual(self.constraints.sessions, {})
 
     def test_a_late_report_of_another_attempt_is_no_proof(self) -> None:
         self.ask("a")
         self.tell(AttemptEnded("a", -1, "s0", "unsent", True))
-        self.assertIs(self.guide.ledger.records["A"].state, State.RESERVED)
+        self.assertIs(self.constraints.ledger.records["A"].state, State.RESERVED)
 
     def test_clock_steps_end_no_session_and_refuse_no_good_token(self) -> None:
         self.start("a", token=self.token(ends=7_200))
         for step in (-30, 3_600):
             self.wall = NOW + step
-            self.guide.sweep(self.now)
-            self.assertEqual(self.guide.take_terminations(), [])
+            self.constraints.sweep(self.now)
+            self.assertEqual(self.constraints.take_terminations(), [])
             self.assertEqual(
                 len(of(self.ask(f"b{step}", token=self.token(f"B{step}", ends=7_200)), ForwardAttempt)), 1
             )
@@ -198,16 +200,16 @@
             heard: list[RenewalRejection | None] = []
             self.wall = NOW + 10 + 60 + 25
             if renewed:
-                self.guide.renew(self.now, session, self.token(seat, 1, ends=600), heard.append)
-                self.guide.renew(self.now, session, self.token(seat, 1, ends=600), heard.append)
+                self.constraints.renew(self.now, session, self.token(seat, 1, ends=600), heard.append)
+                self.constraints.renew(self.now, session, self.token(seat, 1, ends=600), heard.append)
                 self.disk.work()
                 self.assertEqual(heard, [None, None])
-            self.guide.sweep(self.now + 101 * SECOND)
-            self.assertEqual(self.guide.take_terminations(), [] if renewed else [("a", "lapsed")])
+            self.constraints.sweep(self.now + 101 * SECOND)
+            self.assertEqual(self.constraints.take_terminations(), [] if renewed else [("a", "lapsed")])
             self.wall = float(NOW)
             if not renewed:
                 self.tell(AttemptEnded("a", 0, "s0", "cancelled", True))
-        self.assertEqual(self.guide.ledger.records["B"].epoch, 1)
+        self.assertEqual(self.constraints.ledger.records["B"].epoch, 1)
 
     def test_a_session_handed_over_holds_its_seat(self) -> None:
         self.tell(
@@ -244,7 +246,7 @@
         self.begin(ledger)
         self.assertEqual(len(of(self.ask("c"), ForwardAttempt)), 1)
         self.assertEqual(of(self.ask("d", token=self.token("B")), ForwardAttempt), [])
-        self.assertTrue(self.guide.resolve("b", True))
+        self.assertTrue(self.constraints.resolve("b", True))
         self.assertTrue(ledger.records["B"].counted)
 
     def test_seats_long_past_are_dropped_and_what_counts_is_kept(self) -> None:
@@ -253,10 +255,10 @@
         [sent] = of(self.ask("b", token=self.token("B")), ForwardAttempt)
         self.tell(ViewerDisconnected("b"), AttemptEnded("b", 0, sent.server, "unsent", True))
         self.wall = NOW + 700.0
-        self.guide.sweep(self.now)
+        self.constraints.sweep(self.now)
         self.assertEqual(self.disk.dropped, ["B"])
         self.wall = NOW + 31 * 86_400.0
-        self.guide.sweep(self.now)
+        self.constraints.sweep(self.now)
         self.assertEqual(self.disk.dropped, ["B", "A"])
 
     def test_bounds_that_wait_give_way_to_those_that_turn_away(self) -> None:
--- a/tests/test_seats_live.py
+++ b/tests/test_seats_live.py
@@ -24,7 +24,7 @@
 from lotuspick.entitlement.seat_session import EntitlementRules
 from lotuspick.entitlement.tokens import sign
 from lotuspick.lab.seats.trial import seats as seats_trial
-from lotuspick.plugin import Answer, Plugin, Refused, Released, TerminationReason
+from lotuspick.plugin import Answer, Plugin, Rejected, Released, TerminationReason
 from lotuspick.program.configuration import SeatsConfig
 from lotuspick.program.entitlement import Entitlement
 from lotuspick.transport.storage.errors import StoreError
@@ -351,7 +351,11 @@
             self.addCleanup(seats.close)
             library, answers, heard = Library(), list[Answer](), list[RenewalRejection | None]()
             plugin = Plugin(
-                settings(classes=CLASSES), 7, library, clock=lambda: now[0], guide=seats.constraints
+                settings(classes=CLASSES),
+                7,
+                library,
+                clock=lambda: now[0],
+                constraint_provider=seats.constraints,
             )
             plugin.servers(ServerListUpdate([entry(0)], complete=True))
 
@@ -375,9 +379,9 @@
 
             for session, fields in (("x", {}), ("a", {"token": token()})):
                 ask = request(session, now[0], session_class="exam", title="algebra", viewer="v1", **fields)
-                plugin.ask(ask, answers.append, b"call")
+                plugin.request(ask, answers.append, b"call")
             until(lambda: len(library.did) == 1)
-            self.assertEqual((library.did[0][2], answers), ("a", [Refused("x", 0, "token-missing")]))
+            self.assertEqual((library.did[0][2], answers), ("a", [Rejected("x", 0, "token-missing")]))
             plugin.answered(library.did[0][1], "a", b"reply")
             until(lambda: len(answers) == 2)
             now[0] += 50 * SECOND
