--- a/lotuspick/__init__.py
+++ b/lotuspick/__init__.py
@@ -1,4 +1,4 @@
-"""lotuspick: who plays, where and at what quality, decided by one gateway alone."""
+"""A playback broker: picks a media node and a rung for each session, and holds the session while it plays."""
 
 from lotuspick.core.controller import Controller
 
--- a/lotuspick/cells/model.py
+++ b/lotuspick/cells/model.py
@@ -10,6 +10,7 @@
 from netaddr import AddrFormatError, IPAddress, IPSet
 
 from lotuspick.core.events import ServerEntry
+from lotuspick.errors import LotuspickError
 
 HASH = "hash"
 SECOND = 1_000_000
@@ -17,7 +18,7 @@
 """End of a pause that lasts."""
 
 
-class PlanError(ValueError):
+class PlanError(LotuspickError, ValueError):
     """A plan of cells that cannot be used; the text starts with the key at fault."""
 
 
--- a/lotuspick/entitlement/model.py
+++ b/lotuspick/entitlement/model.py
@@ -8,6 +8,8 @@
 from enum import Enum
 from typing import Any
 
+from lotuspick.errors import LotuspickError
+
 MAX_TOKEN_BYTES = 1_024  # of a token, as sent
 MAX_NAME_LENGTH = 128  # characters of each name in a token; NAME says the same
 NAME = re.compile(r"[\x21-\x7e]{1,128}")
@@ -32,7 +34,7 @@
     OTHER = "other-request"  # valid, but for another viewer, tenant, lesson or class than the request's
 
 
-class TokenError(ValueError):
+class TokenError(LotuspickError, ValueError):
     """A token that is rejected.
 
     Attributes:
--- a/lotuspick/lab/errors.py
+++ b/lotuspick/lab/errors.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+from lotuspick.errors import LotuspickError
 
-class LabError(Exception):
+
+class LabError(LotuspickError):
     """A trial cannot go on."""
 
 
--- a/lotuspick/lab/seats/cost.py
+++ b/lotuspick/lab/seats/cost.py
@@ -116,15 +116,17 @@
             commits.submit(record, partial(written, number, due_s))
         commits.close()
         store.close()
+    return TrialResult({**_latency_figures(checks_us, writes_us), "commits": commits.commits}, {})
+
+
+def _latency_figures(checks_us: list[float], writes_us: list[float]) -> dict[str, float]:
     check, write = Latency.of(checks_us), Latency.of(writes_us)
-    figures = {
+    return {
         "check_us": check.median,
         "check_p99_us": check.p99,
         "write_us": write.median,
         "write_p99_us": write.p99,
-        "commits": commits.commits,
     }
-    return TrialResult(figures, {})
 
 
 def _sign(seat: str, now_s: int, key: Ed25519PrivateKey) -> str:
--- a/lotuspick/membership/model.py
+++ b/lotuspick/membership/model.py
@@ -14,12 +14,14 @@
 
 import msgspec
 
+from lotuspick.errors import LotuspickError
+
 MAX_TEXT_LENGTH = 64  # characters of each text in a record
 MAX_OFFERS = 16  # in a record
 MAX_RECORDS = 2_000  # in one message
 
 
-class MembershipError(ValueError):
+class MembershipError(LotuspickError, ValueError):
     """A value that cannot be used; the text names it."""
 
 
--- a/lotuspick/program/configuration/model.py
+++ b/lotuspick/program/configuration/model.py
@@ -8,6 +8,7 @@
 from typing import TYPE_CHECKING
 
 from lotuspick.core.settings import Settings
+from lotuspick.errors import LotuspickError
 from lotuspick.protocol import endpoint_events
 from lotuspick.transport.directory import LdapConfig
 
@@ -18,7 +19,7 @@
     from lotuspick.membership.quorum import QuorumRules
 
 
-class ConfigError(Exception):
+class ConfigError(LotuspickError):
     """A configuration that cannot be used; the text names the file and the key."""
 
 
--- a/lotuspick/program/migration_editor.py
+++ b/lotuspick/program/migration_editor.py
@@ -18,6 +18,7 @@
 from lotuspick.cells.migration import MigrationStage, stage_at
 from lotuspick.cells.model import SECOND, Plan
 from lotuspick.cells.plan_file import parse
+from lotuspick.errors import LotuspickError
 
 ENDING_STAGES = frozenset(
     {MigrationStage.DONE, MigrationStage.UNDONE, MigrationStage.RETURNING, MigrationStage.EMPTYING}
@@ -33,7 +34,7 @@
     ROLL_BACK = "back"
 
 
-class MigrationChangeError(Exception):
+class MigrationChangeError(LotuspickError):
     """A migration cannot be changed so, or there is none; the text says why."""
 
 
--- a/lotuspick/protocol/errors.py
+++ b/lotuspick/protocol/errors.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
+from lotuspick.errors import LotuspickError
+
 MOST_BYTES = 16 * 1024
 """Limit of a message of any protocol here."""
 MOST_ANSWER = 64 * MOST_BYTES
 """Limit of an answer over HTTP, in bytes: the list of some thousand servers is longer than a message."""
 
 
-class ProtocolError(Exception):
+class ProtocolError(LotuspickError):
     """Input that does not follow its protocol; the text names what is wrong."""
 
 
--- a/lotuspick/protocol/key_values.py
+++ b/lotuspick/protocol/key_values.py
@@ -4,11 +4,13 @@
 
 import math
 
+from lotuspick.errors import LotuspickError
+
 Fields = dict[str, str]
 """The fields of one line, or the settings as path=value pairs."""
 
 
-class WireError(Exception):
+class WireError(LotuspickError):
     """A line or a pair that does not follow the wire; the text names the field."""
 
 
--- a/lotuspick/routing/interfaces.py
+++ b/lotuspick/routing/interfaces.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from lotuspick.errors import LotuspickError
 from lotuspick.routing.termination import TerminationReason
 
 
@@ -86,5 +87,5 @@
         """
 
 
-class TenantDirectoryError(Exception):
+class TenantDirectoryError(LotuspickError):
     """The directory cannot be read; the text gives the reason."""
--- a/lotuspick/transport/control_port.py
+++ b/lotuspick/transport/control_port.py
@@ -15,6 +15,7 @@
 from twisted.protocols.basic import LineOnlyReceiver
 from twisted.protocols.policies import TimeoutMixin
 
+from lotuspick.errors import LotuspickError
 from lotuspick.transport.sockets import Reactor
 
 log = logging.getLogger(__name__)
@@ -26,7 +27,7 @@
 """Answers one request; may raise :class:`ControlPortError`."""
 
 
-class ControlPortError(Exception):
+class ControlPortError(LotuspickError):
     """A request cannot be served, or no broker answers; the text states the reason."""
 
 
--- a/lotuspick/transport/storage/errors.py
+++ b/lotuspick/transport/storage/errors.py
@@ -4,10 +4,12 @@
 
 from pathlib import Path
 
+from lotuspick.errors import LotuspickError
+
 LOGGED_FORMAT_CHARS = 20
 
 
-class StoreError(Exception):
+class StoreError(LotuspickError):
     """The store cannot be used, or did not take a record; the text says why."""
 
 
--- a/lotuspick/transport/storage/key_folder.py
+++ b/lotuspick/transport/storage/key_folder.py
@@ -26,6 +26,7 @@
 )
 
 from lotuspick.entitlement.tokens import PublicKey
+from lotuspick.errors import LotuspickError
 
 MAX_KEYS = 64
 PUBLIC_KEYS_FILE = "keys.json"
@@ -35,7 +36,7 @@
 KEY_TYPE, CURVE, KEY_USE = "OKP", "Ed25519", "sig"  # values of a JWK
 
 
-class KeyFolderError(Exception):
+class KeyFolderError(LotuspickError):
     """Keys that cannot be used; the text names the file and never what is in it."""
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -235,7 +235,7 @@
     "os",
     "asyncio",
 }  # no decision does I/O or reads a clock
-CORE = {"core", "state_machine"}
+CORE = {"core", "errors", "state_machine"}
 ABOVE = {"simulator", "plugin", "lab", "__init__", "__main__"}  # drivers of their own: not part of a layer
 
 
