--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -163,8 +163,7 @@
     def events(self, now: int) -> list[Any]:
         draw, out = self.random, []
         night = 1.0 if now < 40 * SECOND else 2.5 if now < 80 * SECOND else 0.6
-        for _ in range(sum(draw.random() < 0.25 * night for _ in range(4))):
-            out.append(self.ask(now))
+        out.extend(self.ask(now) for _ in range(sum(draw.random() < 0.25 * night for _ in range(4))))
         while self.queue and self.queue[0][0] <= now:
             due = heapq.heappop(self.queue)[2]
             out.extend(due(now) if callable(due) else [due])
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -17,13 +17,13 @@
 
 @pytest.mark.parametrize("gateways", [1, 1000])
 @pytest.mark.parametrize("count", [1, 3000])
-def test_any_number_of_servers_and_gateways(gateways: int, count: int) -> None:
+def test_any_number_of_servers_and_brokers_is_accepted(gateways: int, count: int) -> None:
     made = Controller(settings(brokers=gateways, positions=count), 1)
     made.handle(0, [ServerListUpdate([entry(position) for position in range(count)], complete=True)])
     assert place(made, NOW, "a", copies=count) is not None
 
 
-def test_an_empty_list_refuses_in_time() -> None:
+def test_empty_server_list_rejects_in_time() -> None:
     made = Controller(settings(), 1)
     made.handle(0, [ServerListUpdate([], complete=True)])
     assert not of(made.handle(NOW, [request("a", NOW)]), ForwardAttempt)
@@ -37,13 +37,13 @@
     ] == ["a"]
 
 
-def test_more_racks_than_servers() -> None:
+def test_more_racks_than_servers_are_accepted() -> None:
     made = Controller(settings(racks=50, positions=2, uplink_kb_per_s=900.0), 1)
     made.handle(0, [ServerListUpdate([entry(0), entry(1)], complete=True)])
     assert place(made, NOW, "a", copies=2) is not None
 
 
-def test_a_clock_that_jumps_answers_what_is_overdue_once() -> None:
+def test_clock_that_jumps_answers_overdue_requests_once() -> None:
     made = controller(loads=1.5)
     made.handle(NOW, [request("a", NOW)])
     assert place(made, NOW, "b", session_class="exam", highest_rung=0) is None
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("value", [None, "x", float("nan"), -1.0])
 @pytest.mark.parametrize("topic", ["share", "link", "rack", "rung"])
-def test_a_note_that_is_no_number_is_passed_over_and_the_batch_goes_on(value: Any, topic: str) -> None:
+def test_notification_that_is_no_number_is_ignored_and_the_batch_goes_on(value: Any, topic: str) -> None:
     made = controller()
     actions = made.handle(
         NOW, [request("a", NOW), SessionNotification("a", "s0", topic, value), request("b", NOW)]
@@ -63,7 +63,7 @@
     assert sorted(send.session for send in of(actions, ForwardAttempt)) == ["a", "b"]
 
 
-def test_news_of_a_server_that_left_is_passed_over() -> None:
+def test_notification_of_a_server_that_left_is_ignored() -> None:
     made = controller(count=2)
     server, _ = place(made, NOW, "a", copies=2) or ("", 0)
     made.handle(NOW, [ServerListUpdate([entry(1 - int(server[1:]))], complete=True)])
@@ -79,7 +79,7 @@
     assert all(place(made, NOW + SECOND + n, f"r{n}", copies=2) != server for n in range(4))
 
 
-def test_a_viewer_below_the_floor_of_the_class_is_refused() -> None:
+def test_viewer_below_the_lowest_rung_of_the_class_is_rejected() -> None:
     made = controller(classes=[ClassSettings("clip", SECOND, lowest_rung=2)])
     actions = made.handle(NOW, [request("a", NOW, highest_rung=1)])
     assert of(actions, RejectSession)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -124,7 +124,7 @@
 
 
 class Map(unittest.TestCase):
-    TENANTS = [f"t{at}" for at in range(600)]
+    TENANTS = tuple(f"t{at}" for at in range(600))
 
     def homes(self, atlas: CellDirectory) -> dict[str, str]:
         return {tenant: atlas.base_cell(tenant, "")[0] for tenant in self.TENANTS}
@@ -605,9 +605,8 @@
             == (f"q{self.made}" not in self.constraints.sessions)
         )
         if not bounds.reason:
-            assert bounds.servers is not None and bounds.servers <= self.constraints.directory.holders(
-                home, copies
-            )
+            assert bounds.servers is not None
+            assert bounds.servers <= self.constraints.directory.holders(home, copies)
 
     @rule(data=st.data(), server=st.integers(0, 11))
     def send(self, data: st.DataObject, server: int) -> None:
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -56,7 +56,7 @@
 
 
 class Deploy(unittest.TestCase):
-    def test_run_is_one_process_over_ipv4_and_loads_nothing_that_is_off(self) -> None:
+    def test_run_starts_one_process_over_ipv4_without_disabled_subsystems(self) -> None:
         # Nothing but this, word for word: a SIGHUP that comes before the program can heed it must not end it.
         self.assertEqual(DEPLOY["run"], f"trap '' HUP; exec {PYTHON} -B -m lotuspick.program.serve")
         with mock.patch.dict(os.environ, PYTHONPROFILEIMPORTTIME="1"):
@@ -92,7 +92,7 @@
         )
         self.assertNotIn("lotuspick.transport.peers", loaded)
 
-    def test_run_takes_no_arguments_and_names_what_it_cannot_use(self) -> None:
+    def test_run_rejects_arguments_and_names_an_unusable_configuration(self) -> None:
         for words, wanted in (("serve", "takes no arguments"), ("", "PROXY_CONFIG is not set")):
             done = subprocess.run(
                 ["/bin/sh", "-c", f"{here(DEPLOY['run'])} {words}"],
@@ -104,7 +104,7 @@
             self.assertNotEqual(done.returncode, 0)
             self.assertIn(wanted, done.stderr)
 
-    def test_policy_and_node_name_what_is_there(self) -> None:
+    def test_policy_and_node_name_existing_files(self) -> None:
         for path in DEPLOY["policy"] + DEPLOY["node"]:
             self.assertTrue((ROOT / path).exists(), path)
         lines = sum(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -64,7 +64,7 @@
             if result.broker not in disturbed:
                 self.assertFalse(result.connection_lost, result)
                 self.assertTrue(
-                    result.status == 200 or result.is_paid and result.reason.startswith("fleet-"), result
+                    result.status == 200 or (result.is_paid and result.reason.startswith("fleet-")), result
                 )
         for at in rig.brokers:
             self.assertNotIn("Traceback", rig.broker_log(at))
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -25,7 +25,7 @@
 
 
 class HeldUp(Stepped):
-    def test_an_answer_that_lies_here_when_its_time_is_up_counts(self) -> None:
+    def test_answer_unread_at_its_timeout_counts(self) -> None:
         viewer = self.call()
         viewer.sendall(SETUP % 1_000)
         edge = self.take()
@@ -35,7 +35,7 @@
         self.timers()
         self.hears(viewer, b"RTSP/1.0 200 ")
 
-    def test_the_rest_of_a_message_that_lies_here_is_in_time(self) -> None:
+    def test_rest_of_a_message_unread_at_its_timeout_counts(self) -> None:
         viewer, whole = self.call(), SETUP % 9_000
         viewer.sendall(whole[:60])
         self.until(
@@ -48,7 +48,7 @@
         self.timers()
         self.hears(self.take(), ID)
 
-    def test_one_that_is_late_all_the_same_is_closed(self) -> None:
+    def test_message_incomplete_after_its_timeout_closes_the_connection(self) -> None:
         viewer = self.call()
         viewer.sendall((SETUP % 9_000)[:60])
         self.until(lambda: self.daemon.rtsp_server.connections)
@@ -56,7 +56,7 @@
         self.timers()
         self.until(lambda: not self.daemon.rtsp_server.connections)
 
-    def test_what_came_before_an_end_and_was_not_looked_at_is_served(self) -> None:
+    def test_request_unread_at_shutdown_is_served(self) -> None:
         """A connection that waits to be taken, and one on which a request waits to be read."""
         for known in (True, False):
             with self.subTest(known=known):
@@ -81,7 +81,7 @@
                 self.hears(viewer, b"TEARDOWN")
                 self.until(lambda: self.stopped)
 
-    def test_a_viewer_whose_leave_lies_here_is_sent_on_nowhere(self) -> None:
+    def test_leave_unread_behind_its_request_forwards_nothing(self) -> None:
         viewer = self.call()
         viewer.sendall(SETUP % 9_000)
         viewer.close()
@@ -146,7 +146,7 @@
         b"P-Path: home:0;copies:1;top:2\r\nContent-Length: 2\r\n\r\nof"
     )
 
-    def test_what_came_before_an_end_and_was_not_looked_at_is_served(self) -> None:
+    def test_request_unread_at_shutdown_is_served(self) -> None:
         for known in (True, False):
             with self.subTest(known=known):
                 self.doCleanups()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -32,10 +32,10 @@
 
 
 class Lists(unittest.TestCase):
-    def test_the_list_of_this_tree_can_be_used(self) -> None:
+    def test_list_of_this_tree_is_valid(self) -> None:
         self.assertLessEqual(len(read(PATH.read_text() if PATH.exists() else "")), 3)
 
-    def test_what_cannot_be_used_is_named(self) -> None:
+    def test_invalid_line_is_named(self) -> None:
         for text, fault in (
             ("tests/a.py::t", "line 1"),
             ("# x\ntests/a.py::t | cause |", "line 2"),
@@ -62,12 +62,12 @@
             )
             return done.returncode, done.stdout + done.stderr
 
-    def test_red_tests_are_passed_over_and_printed(self) -> None:
+    def test_listed_tests_may_fail_and_are_printed(self) -> None:
         code, said = self.run_with(RED)
         self.assertEqual(code, 0, said)
         self.assertIn("KNOWN RED: tests/test_some.py::test_red: it is so (issue 7)", said)
 
-    def test_a_stale_line_one_without_a_test_and_a_bad_one_fail(self) -> None:
+    def test_stale_line_unknown_test_or_invalid_line_fails_the_run(self) -> None:
         for lines, tests in (
             ("", TESTS),
             (RED + "tests/test_some.py::test_green | no more | 7\n", TESTS),
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -23,7 +23,7 @@
 class Waits(Scenario):
     """The edge server's own record is what it hears: the first request that comes there is that of who stayed."""
 
-    def test_for_a_dial(self) -> None:
+    def test_leave_during_a_dial_forwards_nothing(self) -> None:
         for leave in LEAVES:
             with self.subTest(leave):
                 self.play(
@@ -43,7 +43,7 @@
                     e0="silent",
                 )
 
-    def test_for_a_server_that_can_be_used(self) -> None:
+    def test_leave_while_no_server_is_usable_forwards_nothing(self) -> None:
         """The last who waits stays, so that what waits is seen to be sent on once there is a server."""
         for leave in LEAVES:
             with self.subTest(leave):
@@ -59,7 +59,7 @@
                     e0="draining",
                 )
 
-    def test_for_a_further_attempt(self) -> None:
+    def test_leave_before_a_retry_forwards_nothing(self) -> None:
         for leave in LEAVES:
             with self.subTest(leave):
                 self.play(
@@ -79,7 +79,7 @@
                     e1="draining",
                 )
 
-    def test_unread_behind_a_broker_that_is_held_up(self) -> None:
+    def test_leave_unread_while_the_broker_is_stopped_forwards_nothing(self) -> None:
         """By the second answer on the later connection the leave has been read, and only then the server comes up.
 
         The orders in which a server can be used before that are forced in test_held_up.
@@ -107,7 +107,7 @@
                     e0="draining",
                 )
 
-    def test_over_http_for_a_dial(self) -> None:
+    def test_http_leave_during_a_dial_forwards_nothing(self) -> None:
         for leave in ("p1 close", "p1 close reset"):
             with self.subTest(leave):
                 self.play(
@@ -128,7 +128,7 @@
                     e0="silent",
                 )
 
-    def test_over_http_for_a_server_that_can_be_used(self) -> None:
+    def test_http_leave_while_no_server_is_usable_forwards_nothing(self) -> None:
         for leave in ("p1 close", "p1 close reset"):
             with self.subTest(leave):
                 self.play(
@@ -148,7 +148,7 @@
                     e0="draining",
                 )
 
-    def test_over_http_with_much_sent_behind_the_request(self) -> None:
+    def test_http_leave_behind_much_unread_input_forwards_nothing(self) -> None:
         made = World(hints=True, e0="draining")
         self.addCleanup(made.end)
         made.play("p1 send SETUP s1 kind=exam left=9000")
@@ -167,7 +167,7 @@
 class NotLeaves(Scenario):
     """What is no leave."""
 
-    def test_a_connection_that_closes_with_a_session_that_stands(self) -> None:
+    def test_connection_closed_while_its_session_plays_ends_nothing(self) -> None:
         for how in ("close", "close reset", "close half"):
             with self.subTest(how):
                 self.play(f"""
@@ -181,7 +181,7 @@
                     v2 expect TEARDOWN s1 why=cause=16
                 """)
 
-    def test_one_that_closes_after_its_request_came_again_on_another(self) -> None:
+    def test_connection_closed_after_a_duplicate_request_keeps_the_request(self) -> None:
         self.play(
             """
             v1 send SETUP s1 kind=exam left=9000
@@ -205,7 +205,7 @@
 
 
 class OtherWays(unittest.TestCase):
-    def test_the_plug_in_starts_no_call_for_what_was_dropped(self) -> None:
+    def test_plugin_starts_no_call_for_a_dropped_session(self) -> None:
         now, calls = [NOW], Mock()
         made = Plugin(settings(), 1, calls, clock=lambda: now[0])
 
@@ -224,7 +224,7 @@
         go_on()
         self.assertEqual([call.args[1].session for call in calls.start.call_args_list], ["stayed"])
 
-    def test_the_plug_in_cancels_the_call_of_what_was_dropped_once_it_had_begun(self) -> None:
+    def test_plugin_cancels_the_call_of_a_dropped_session(self) -> None:
         now, calls = [NOW], Mock(cancel=Mock(return_value=True))
         made = Plugin(settings(), 1, calls, clock=lambda: now[0])
         made.servers(ServerListUpdate([entry(0)], complete=True))
@@ -239,7 +239,7 @@
         calls.cancel.assert_called_once_with("s0", "a")
         self.assertEqual(made.dispatcher.sessions.entries, {})
 
-    def test_an_http_node_that_is_still_dialled_is_dialled_no_more(self) -> None:
+    def test_http_dial_for_a_dropped_session_is_cancelled(self) -> None:
         reactor, posted = MemoryReactorClock(), list[Any]()
         pool = MediaNodePool(reactor, {"n": "127.0.0.1:9"}, 5.0, posted.append, lambda node: 0)
         pool.start_attempt("n", AttemptRequest("0" * 16, "clip", "t", 0, 900, b""))
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 import json
 import unittest
 from dataclasses import replace
@@ -51,7 +52,7 @@
         self.assertAlmostEqual(count_between(closing, 9, 10) / len(closing), 0.5, delta=0.06)
         even = arrivals_of(Phase("p", 10.0, 20.0, evenly_spaced=True))
         self.assertEqual(
-            {later.at_us - each.at_us for each, later in zip(even, even[1:])} - {49_999, 50_000, 50_001},
+            {later.at_us - each.at_us for each, later in itertools.pairwise(even)} - {49_999, 50_000, 50_001},
             set(),
         )
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 import unittest
 from typing import Any
 from unittest import mock
@@ -181,7 +182,7 @@
         heard = Members._on_suspicion
         with (
             mock.patch.object(Members, "_on_suspicion", deaf),
-            mock.patch.object(Members, "_on_sign_of_life", lambda *_: None),
+            mock.patch.object(Members, "_on_sign_of_life", return_value=None),
         ):
             self.assertGreater(self.deaths(), 0)
 
@@ -197,7 +198,7 @@
             )
 
     def test_one_that_forgets_its_life_is_told_apart_from_its_earlier_self_by_nothing(self) -> None:
-        with mock.patch.object(Members, "_rise", lambda *_: None):
+        with mock.patch.object(Members, "_rise", return_value=None):
             made = fleet(5, 8)
             made.crash("h4")
             made.start("h4", wipe=True)
@@ -205,7 +206,7 @@
             self.assertNotEqual({host.machine.records["b4"].incarnation for host in made.hosts.values()}, {2})
 
     def test_without_exchanges_halves_stay_apart(self) -> None:
-        with mock.patch.object(Members, "_exchange", lambda *_: None):
+        with mock.patch.object(Members, "_exchange", return_value=None):
             made = fleet(5, 7)
             made.cut(made.names[:2], made.names[2:])
             made.run(10 * SECOND)
@@ -379,7 +380,7 @@
             made.heal()
             second = self.follow(made, SECOND)
             both = first["h0"] + second["h0"]
-            changes += sum(one != two for one, two in zip(both, both[1:]))
+            changes += sum(one != two for one, two in itertools.pairwise(both))
         self.assertLessEqual(changes, 10)
         self.assertFalse(self.standings["h0"].may("lead"))
 
@@ -612,7 +613,7 @@
         self.assertTrue(settles(story, seed))
 
     def test_a_planted_fault_is_told_as_a_short_story_that_can_be_played_again(self) -> None:
-        with mock.patch.object(Members, "_exchange", lambda *_: None):
+        with mock.patch.object(Members, "_exchange", return_value=None):
             found = told(
                 find(
                     st.lists(FAULTS, max_size=6),
--- a/tests/test_membership_parts.py
+++ b/tests/test_membership_parts.py
@@ -4,6 +4,7 @@
 
 import json
 import unittest
+from typing import ClassVar
 
 from lotuspick.membership.failure_detector import FailureDetector
 from lotuspick.membership.gossip import GossipQueue
@@ -217,7 +218,7 @@
 
 class Explaining(unittest.TestCase):
     STATUS = MemberStatus("a", "alive", 3, "10.0.0.1:1", "z", "1", ("lead",), (), True, "b", "told", 1.5)
-    KEYS = {
+    KEYS: ClassVar = {
         "member": "a",
         "state": "alive",
         "life": 3,
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -37,7 +37,7 @@
         {"max_attempts": 1},
     ],
 )
-def test_served_under_other_settings(change: dict[str, Any]) -> None:
+def test_request_is_served_under_other_settings(change: dict[str, Any]) -> None:
     made = Controller(settings(**change), 1)
     cells = change.get("positions", 4)
     made.handle(0, [servers(cells)])
@@ -48,7 +48,7 @@
     assert "a" not in made.sessions or made.sessions["a"].attempt == 1 or of(later, RejectSession)
 
 
-def test_list_is_asked_for_and_asked_again_after_a_failure() -> None:
+def test_server_list_is_subscribed_to_again_after_a_failure() -> None:
     made = Controller(settings(subscription_required=True), 1)
     assert of(made.handle(0, [servers()]), Subscribe)
     timers = of(made.handle(SECOND, [ServerListUpdate(failed=True)]), StartTimer)
@@ -58,7 +58,7 @@
     )  # the list held before the failure still stands
 
 
-def test_who_comes_while_all_that_can_be_held_is_open_is_told_to_return_as_the_settings_allow(
+def test_request_over_the_open_limit_is_rejected_with_the_configured_retry_after(
     monkeypatch: Any,
 ) -> None:
     monkeypatch.setattr(message_handlers, "MAX_OPEN_REQUESTS", 1)
@@ -84,7 +84,7 @@
     assert asked == [0, 500, 1_000]
 
 
-def test_seats_are_given_back() -> None:
+def test_title_sessions_are_released_when_they_end() -> None:
     made = Controller(settings(classes=[ClassSettings("clip", SECOND, title_session_limit=1)]), 1)
     made.handle(0, [ServerListUpdate([entry(0)], complete=True)])
     assert of(made.handle(NOW, [request("a", NOW, copies=1)]), ForwardAttempt)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -6,7 +6,7 @@
 import sys
 import unittest
 from pathlib import Path
-from typing import Any
+from typing import Any, ClassVar
 
 import msgspec
 from twisted.internet import error
@@ -57,10 +57,10 @@
 class FakeTransport(StringTransport):
     aborting = False
 
-    def setTcpNoDelay(self, on: bool) -> None:
+    def setTcpNoDelay(self, on: bool) -> None:  # noqa: N802 - as Twisted names it
         pass
 
-    def getHandle(self) -> Any:
+    def getHandle(self) -> Any:  # noqa: N802 - as Twisted names it
         return self
 
     def setsockopt(self, *options: int) -> None:
@@ -82,7 +82,7 @@
 
     def dialled(self, greeted: bool = True) -> Any:
         """The dial that is waited for comes up."""
-        *_, (host, port, factory, *_rest) = self.reactor.tcpClients
+        factory = self.reactor.tcpClients[-1][2]
         wrapper = factory.buildProtocol(None)
         wrapper.makeConnection(FakeTransport())
         connection = wrapper._wrappedProtocol
@@ -258,7 +258,7 @@
 
     def test_datagrams_name_their_sender_and_are_bounded(self) -> None:
         class FakeSocket:
-            sent: list[tuple[bytes, Any]] = []
+            sent: ClassVar[list[tuple[bytes, Any]]] = []
 
             def write(self, datagram: bytes, to: Any) -> None:
                 self.sent.append((datagram, to))
--- a/tests/test_plugin.py
+++ b/tests/test_plugin.py
@@ -73,7 +73,7 @@
             self.now += max(1, int(wait_s * 1e6))
         self.now = end
 
-    def test_a_session_from_ask_to_release(self) -> None:
+    def test_session_goes_from_request_to_release(self) -> None:
         self.ask("a")
         self.run_for(SECOND // 10)
         [(what, server, session, payload)] = self.library.did
@@ -84,7 +84,7 @@
         self.run_for(SECOND // 10)
         self.assertEqual(self.answers, [Served("a", b"reply"), Released("a", TerminationReason.FINISHED)])
 
-    def test_paid_goes_on_after_proof_and_fails_without(self) -> None:
+    def test_paid_session_is_retried_after_proof_and_fails_without(self) -> None:
         for ending, answered in (
             (TerminationReason.DIAL_REFUSED, []),
             (TerminationReason.RESET, [Failed("x1")]),
@@ -99,7 +99,7 @@
             starts = [did[1] for did in self.library.did if did[:1] + did[2:3] == ("start", session)]
             self.assertEqual(len(starts), 1 if answered else 2)
 
-    def test_a_step_that_comes_late_still_has_the_decisions_answer(self) -> None:
+    def test_late_step_still_carries_the_answer_of_the_decisions(self) -> None:
         self.plugin.servers(ServerListUpdate([], complete=True))
         for session, sent in (("held", False), ("sent", True)):
             self.ask(session, session_class="exam")
@@ -110,12 +110,12 @@
             self.plugin.servers(ServerListUpdate([entry(0), entry(1)], complete=True))
             self.assertEqual(self.plugin.dispatcher.sessions.entries, {})
 
-    def test_a_refusal_says_when_to_come_back(self) -> None:
+    def test_rejection_carries_retry_after(self) -> None:
         self.ask("a", home_position=3, copies=1)
         self.run_for(5 * SECOND)
         self.assertEqual(self.answers, [Rejected("a", 1_000)])
 
-    def test_a_lost_server_ends_what_stood_there(self) -> None:
+    def test_failed_server_ends_the_sessions_that_played_there(self) -> None:
         self.ask("a")
         self.run_for(SECOND // 10)
         server = self.library.did[-1][1]
@@ -127,7 +127,7 @@
         self.run_for(SECOND // 10)
         self.assertEqual(self.answers[1:], [Released("a", TerminationReason.RESET)])
 
-    def test_nobody_answers_in_time(self) -> None:
+    def test_request_without_an_answer_in_time_is_ended(self) -> None:
         for queued in (True, False):
             self.library.queued = queued
             self.ask(f"q{queued}", session_class="exam", copies=1)
@@ -149,7 +149,7 @@
         self.assertEqual(self.library.did[-1][0], "release")
         self.assertEqual(self.answers, [Served("b", b"")])
 
-    def test_run_on_a_thread_until_close(self) -> None:
+    def test_plugin_runs_on_a_thread_until_closed(self) -> None:
         answered = threading.Event()
 
         class Prompt(Library):
@@ -166,7 +166,7 @@
         thread.join(20)
         self.assertFalse(thread.is_alive())
 
-    def test_no_wire_comes_with_it(self) -> None:
+    def test_plugin_imports_no_transport(self) -> None:
         code = (
             "import sys, lotuspick.plugin; "
             "print([m for m in sys.modules if m.split('.')[0] in ('twisted', 'ldap3', 'typer', 'http_sf')])"
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -10,7 +10,7 @@
 from lotuspick.core.state import SessionPhase
 
 
-def test_example_sends_the_session(capsys: pytest.CaptureFixture[str]) -> None:
+def test_example_of_the_readme_forwards_the_session(capsys: pytest.CaptureFixture[str]) -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text(encoding="utf-8")
     example = re.search(r"```python\n(.*?)```", text, re.S)
     assert example is not None
--- a/tests/test_seats_guide.py
+++ b/tests/test_seats_guide.py
@@ -278,13 +278,13 @@
 
 
 class Auditor(unittest.TestCase):
-    RAN = [
+    RAN = (
         "ran q1 A s-0 10.0",
         "over q1 A s-0 12.0",
         "ran q2 A s-1 13.0",
         "ran q3 B s-0 11.0",
         "ran q4 C s-0 11.0",
-    ]
+    )
 
     def test_a_sound_ledger_passes_and_every_planted_fault_is_found(self) -> None:
         from lotuspick.lab.seats.audit import audit
--- a/tests/test_seats_live.py
+++ b/tests/test_seats_live.py
@@ -199,7 +199,8 @@
 
     def test_a_broker_killed_finds_its_seats_again_and_doubts_what_was_out(self) -> None:
         world = self.world()
-        Path(world.folder.name, "seats.toml").open("a").write('proofs = "proofs"\n')
+        with Path(world.folder.name, "seats.toml").open("a") as settings_file:
+            settings_file.write('proofs = "proofs"\n')
         world.play(
             SERVED
             + """
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -168,7 +168,7 @@
 class Apart(unittest.TestCase):
     STEPS = 1_200
 
-    def test_controllers_with_other_settings_in_one_process_each_act_as_if_alone(self) -> None:
+    def test_controllers_with_different_settings_in_one_process_act_independently(self) -> None:
         alone = {}
         for name, settings in SITES.items():
             life = Life(settings, 7)
@@ -184,7 +184,7 @@
         for name, life in lives.items():
             self.assertEqual(life.acted, alone[name], name)
 
-    def test_a_controller_leaves_its_settings_as_they_were(self) -> None:
+    def test_controller_does_not_change_its_settings(self) -> None:
         for name, settings in SITES.items():
             before = repr(settings)
             life = Life(settings, 3)
@@ -194,7 +194,7 @@
 
 
 class Reloaded(Scenario):
-    def test_other_settings_in_a_reload_are_for_a_restart_as_a_whole(self) -> None:
+    def test_reload_with_other_settings_keeps_those_of_the_start(self) -> None:
         """Classes, ladder and deadlines of the new file must not meet the old ones in a request that is under way."""
         made = World()
         self.addCleanup(made.end)
@@ -224,7 +224,7 @@
         """
         )
 
-    def test_a_file_that_cannot_be_read_in_any_way_costs_nothing(self) -> None:
+    def test_unreadable_file_on_reload_changes_nothing(self) -> None:
         deep = "[" * 100_000
         self.play(
             PLAYING
--- a/tests/test_adapter.py
+++ b/tests/test_simulator.py
@@ -37,7 +37,7 @@
     )
 
 
-def test_request_is_sent_and_each_batch_answered() -> None:
+def test_request_is_forwarded_and_each_batch_is_answered() -> None:
     done = run(f"{OPEN}ROUND TimeUs=1010000\nTO I=3\n{KNOCK}EOF_BATCH\nROUND TimeUs=1020000\nEOF_BATCH\n")
     replies = done.stdout.split("NEXT\n")
     assert done.returncode == 0
@@ -49,7 +49,7 @@
     assert replies[2] == ""
 
 
-def test_end_of_input_is_a_clean_exit() -> None:
+def test_end_of_input_exits_with_0() -> None:
     assert run("").returncode == 0
     assert run(OPEN).returncode == 0
 
@@ -66,7 +66,7 @@
         (KNOCK.strip().replace("Copies=2", "Copies=0"), "copies must be above 0"),
     ],
 )
-def test_malformed_line_is_named_and_ends_the_process(line: str, wrong: str) -> None:
+def test_malformed_line_is_named_and_exits_with_2(line: str, wrong: str) -> None:
     done = run(f"{OPEN}ROUND TimeUs=1010000\nTO I=3\n{line}\nEOF_BATCH\n")
     assert done.returncode == 2
     assert wrong in done.stderr
@@ -74,13 +74,13 @@
     assert done.stdout == "NEXT\n"
 
 
-def test_input_cut_inside_a_batch() -> None:
+def test_input_that_ends_inside_a_batch_exits_with_2() -> None:
     done = run(OPEN.replace("EOF_BATCH\n", ""))
     assert done.returncode == 2
     assert "inside a batch" in done.stderr
 
 
-def test_faults_of_one_instance_are_told_on_the_wire_and_leave_others_alone() -> None:
+def test_error_of_one_instance_is_reported_and_leaves_the_others_alone() -> None:
     bad = f"TO I=4\nOPEN_INSTANCE Salt=5 {PAIRS.replace('FamilyInfo.Cells=2 ', '')}\n"
     odd = KNOCK.replace("clip", "nosuch")
     done = run(
@@ -94,7 +94,7 @@
     assert "nosuch" in replies[2]
 
 
-def test_late_events_and_unknown_columns_are_passed_over() -> None:
+def test_late_events_and_unknown_columns_are_ignored() -> None:
     late = (
         "RESOLVED Tid=r-9 Shot=0 Host=h0:1 Outcome=delivered NoMore=1 TookUs=1 Metrics=x0:nan,x7:1,x0\n"
         "PROGRESS Tid=r-9 Shot=0 Host=h9:1 Topic=3 Level=0.5\nPROGRESS Tid=r-9 Shot=0 Host=h0:1 Topic=8 Level=x\n"
@@ -105,7 +105,7 @@
     assert done.stdout.endswith("NEXT\nNEXT\n")
 
 
-def test_teardown_and_a_new_start_in_one_batch() -> None:
+def test_teardown_and_new_start_in_one_batch_are_both_carried_out() -> None:
     again = OPEN.replace("TO I=3\n", "TO I=3\nTEARDOWN\n", 1)
     done = run(f"{OPEN}ROUND TimeUs=1010000\nTO I=3\n{KNOCK}EOF_BATCH\n{again}")
     assert done.returncode == 0
@@ -132,7 +132,7 @@
         ("Invariants.ColdFrom", "nan"),
     ],
 )
-def test_bad_setting_is_told_by_key_and_value(key: str, text: str) -> None:
+def test_invalid_setting_is_reported_with_key_and_value(key: str, text: str) -> None:
     pairs = {**dict(pair.split("=") for pair in PAIRS.split(" ")), key: text}
     bad = next(part for part in text.split(",") if part not in ("100.0", "1.0", "0", "1"))
     with pytest.raises(ValueError, match=rf"{key}.*{bad}"):
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -8,7 +8,7 @@
 
 
 class Trace(unittest.TestCase):
-    def test_a_bare_core_acts_as_recorded(self) -> None:
+    def test_bare_core_acts_as_recorded(self) -> None:
         made, events, acted = build(), 0, 0
         for now, told, actions in replay():
             self.assertEqual(plain(made.handle(now, told)), actions, f"at {now} us")
--- a/tests/test_turnover.py
+++ b/tests/test_turnover.py
@@ -101,6 +101,32 @@
         began_us, draw, loop = self.now_us, self.draw, self.loop
         viewer = Mock(is_open=True)
         loop.post(ViewerConnectionOpened(viewer))
+        self.post_requests(viewer)
+        self.until(self.now_us + SECOND // 10)
+        sent, self.sent = self.sent, []
+        self.answer(sent)
+        self.until(self.now_us + 20 * SECOND)
+        for edge, session in sent:
+            if draw.random() < 0.8:
+                loop.post(
+                    EdgeServerReleased(edge, session, TerminationReason.NO_ANSWER, TerminationReason.FINISHED)
+                )
+        self.until(self.now_us + SECOND)
+        if self.troubled:
+            self.replace_a_server()
+        loop.post(ViewerConnectionClosed(viewer))
+        viewer.is_open = False
+        for session, standing in list(loop.sessions.entries.items()):  # nothing plays for longer
+            if standing.is_playing:
+                loop.post(
+                    EdgeServerReleased(
+                        standing.server, session, TerminationReason.NO_ANSWER, TerminationReason.FINISHED
+                    )
+                )
+        self.until(began_us + STEP_S * SECOND)
+
+    def post_requests(self, viewer: Mock) -> None:
+        draw, loop = self.draw, self.loop
         for _ in range(12):
             self.made += 1
             loop.post(
@@ -119,44 +145,31 @@
                     viewer=viewer,
                 )
             )
-        self.until(self.now_us + SECOND // 10)
-        sent, self.sent = self.sent, []
+
+    def answer(self, sent: list[tuple[str, str]]) -> None:
+        draw, loop = self.draw, self.loop
         for edge, session in sent:
             if not self.troubled or draw.random() < 0.9:
                 loop.post(AttemptAnswered(edge, session, b"v=0"))
                 if int(edge[1]) % 3:
                     loop.post(EdgeServerNotified(edge, session, "link", draw.random() / 2))
-        self.until(self.now_us + 20 * SECOND)
-        for edge, session in sent:
-            if draw.random() < 0.8:
-                loop.post(
-                    EdgeServerReleased(edge, session, TerminationReason.NO_ANSWER, TerminationReason.FINISHED)
-                )
-        self.until(self.now_us + SECOND)
-        if self.troubled:
-            at = draw.randrange(NODES)
-            dies, gone = draw.random() < 0.3, self.node(at, state="gone")
-            if dies:
-                loop.post(EdgeServerFailed(gone.server, TerminationReason.SERVER_DOWN))
-            self.nodes[at] += 1
-            loop.post(EndpointListChanged(ServerListUpdate([gone, self.node(at, started_us=self.now_us)])))
-        loop.post(ViewerConnectionClosed(viewer))
-        viewer.is_open = False
-        for session, standing in list(loop.sessions.entries.items()):  # nothing plays for longer
-            if standing.is_playing:
-                loop.post(
-                    EdgeServerReleased(
-                        standing.server, session, TerminationReason.NO_ANSWER, TerminationReason.FINISHED
-                    )
-                )
-        self.until(began_us + STEP_S * SECOND)
+
+    def replace_a_server(self) -> None:
+        """One leaves the list or dies, and another starts at its position."""
+        draw, loop = self.draw, self.loop
+        at = draw.randrange(NODES)
+        dies, gone = draw.random() < 0.3, self.node(at, state="gone")
+        if dies:
+            loop.post(EdgeServerFailed(gone.server, TerminationReason.SERVER_DOWN))
+        self.nodes[at] += 1
+        loop.post(EndpointListChanged(ServerListUpdate([gone, self.node(at, started_us=self.now_us)])))
 
 
 class TurnOver(unittest.TestCase):
-    def test_a_week_of_troubles_leaves_no_more_than_a_day(self) -> None:
+    def test_week_with_faults_leaves_no_more_state_than_a_day(self) -> None:
         self.week(True)
 
-    def test_a_week_of_calm_leaves_no_more_than_a_day(self) -> None:
+    def test_week_without_faults_leaves_no_more_state_than_a_day(self) -> None:
         self.week(False)
 
     def week(self, troubled: bool) -> None:
