--- a/lotuspick/transport/peers/state_machine_driver.py
+++ b/lotuspick/transport/peers/state_machine_driver.py
@@ -1,7 +1,7 @@
 """The daemon's driver of state machines: Twisted's timers, a durable store, the link between brokers.
 
-It guarantees what :mod:`lotuspick.state_machine` lists and has no logic beyond that; ``tests/test_steps.py``
-holds it and the simulated network to the same list.
+It guarantees what :mod:`lotuspick.state_machine` lists and has no logic beyond that.
+``tests/transport/test_state_machine_drivers.py`` holds it and the simulated network to the same list.
 """
 
 from __future__ import annotations
--- a/tests/test_deploy.py
+++ b/tests/program/test_deploy.py
@@ -12,7 +12,7 @@
 
 from scenario import PLAYING, World
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 PYTHON = (
     ".venv/bin/python"  # as build leaves it there; here the interpreter that runs the tests stands for it
--- a/tests/test_program.py
+++ b/tests/program/test_program.py
@@ -20,7 +20,7 @@
 from lotuspick.routing.interfaces import TenantDirectoryError
 from lotuspick.transport.directory import LdapConfig, LdapDirectory
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 TOLD = {
     "name": "n0",
     "listen": "127.0.0.1:1",
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -34,7 +34,8 @@
 def defined_objects(module: str) -> set[str]:
     """Qualified names of a test module's classes, and of the functions in it and in them."""
     names = set()
-    for node in ast.parse((TESTS / f"{module}.py").read_text(encoding="utf-8")).body:
+    file = next(TESTS.rglob(f"{module}.py"))
+    for node in ast.parse(file.read_text(encoding="utf-8")).body:
         if isinstance(node, ast.ClassDef | ast.FunctionDef):
             names.add(node.name)
         if isinstance(node, ast.ClassDef):
@@ -44,7 +45,7 @@
 
 @pytest.mark.parametrize("page", PAGES)
 def test_page_names_only_test_files_that_exist(page: str) -> None:
-    assert [name for name in named_files(page) if not list(TESTS.glob(name))] == []
+    assert [name for name in named_files(page) if not list(TESTS.rglob(name))] == []
 
 
 @pytest.mark.parametrize("page", PAGES)
@@ -53,7 +54,7 @@
     missing = [
         f"{module}.{name}"
         for module, name in named
-        if not (TESTS / f"{module}.py").is_file() or name not in defined_objects(module)
+        if not list(TESTS.rglob(f"{module}.py")) or name not in defined_objects(module)
     ]
     assert missing == []
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -27,7 +27,7 @@
     )
     assert len(named) > 60
     for file, path in named:
-        text = (root / f"{file}.py").read_text(encoding="utf-8")
+        text = next(root.rglob(f"{file}.py")).read_text(encoding="utf-8")
         *classes, test = path[1:].split(".")
         start = 0
         for each in classes:
--- a/tests/test_peers.py
+++ b/tests/transport/test_peer_connections.py
@@ -19,7 +19,7 @@
 from lotuspick.transport.peers.peer_connection import HELLO_TIMEOUT_S, PeerConnection
 from lotuspick.transport.peers.peer_connections import IDLE_TIMEOUT_S, PeerConnections
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 LOOPBACK = """
 from twisted.internet import reactor
 from lotuspick.membership.model import Ack, Digest
