--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -67,3 +67,8 @@
         self.assertTrue(self.admission.exceeds_tenant_rate(request("a", NOW, tenant="unknown")))
         self.admission.tenants.update({})
         self.assertFalse(self.admission.exceeds_tenant_rate(request("a", NOW, tenant="unknown")))
+
+    def test_tenant_with_a_rate_below_one_in_its_window_has_one_request(self) -> None:
+        self.admission.tenants.update({"law": 0.01})
+        found = [self.admission.exceeds_tenant_rate(request("a", NOW, tenant="law")) for _ in range(2)]
+        self.assertEqual(found, [False, True])
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -40,6 +40,10 @@
         self.session.constraint = PlacementConstraint(servers=frozenset({"s0"}))
         self.assertIsNone(self.chosen())
 
+    def test_server_is_chosen_again_from_the_end_of_its_ejection_on(self) -> None:
+        self.context.servers["s0"].ejected_until = self.context.servers["s1"].ejected_until = NOW
+        self.assertIsNotNone(self.chosen())
+
     def test_server_without_a_free_stream_is_not_chosen(self) -> None:
         for server in self.context.servers.values():
             server.other_streams = server.stream_limit
@@ -48,6 +52,7 @@
     def test_draws_come_from_the_own_pool_and_then_from_those_below(self) -> None:
         self.assertEqual(draw_shares(0.5, [0.25, 0.25, 0.25], 1), [0.25, 0.25, 0.0])
         self.assertEqual(draw_shares(0.75, [0.25, 0.25, 0.25], 1), [0.25, 0.5, 0.0])
+        self.assertEqual(draw_shares(0.5, [0.5, 0.125, 0.25], 2), [0.125, 0.125, 0.25])
 
     def test_use_of_other_brokers_is_spread_over_all_pools(self) -> None:
         server = self.context.add_server(entry(9))
--- a/tests/core/test_rung_control.py
+++ b/tests/core/test_rung_control.py
@@ -4,11 +4,13 @@
 
 import unittest
 
-from helpers import NOW, SECOND, controller, request
+from helpers import NOW, SECOND, controller, request, settings
 
 from lotuspick.core import tuning
 from lotuspick.core.constraints import PlacementConstraint
-from lotuspick.core.state import SessionState
+from lotuspick.core.settings import ClassSettings
+from lotuspick.core.state import SessionPhase, SessionState
+from lotuspick.core.step_values import StepValues
 
 
 class RungControlTest(unittest.TestCase):
@@ -47,3 +49,33 @@
         self.assertGreater(self.rungs.free_load, before)
         self.rungs.raise_free_load(10_000 * SECOND)
         self.assertEqual(self.rungs.free_load, tuning.MAX_FREE_LOAD)
+
+    def test_step_to_the_lowest_rung_counts_all_that_it_takes(self) -> None:
+        from_second = ClassSettings("clip", SECOND, lowest_rung=1)
+        steps = StepValues(settings(classes=[from_second], rung_values=(0.25, 0.7, 0.9, 1.0)))
+        self.assertAlmostEqual(steps.value(from_second, 1), 0.7 / 200.0)
+        self.assertAlmostEqual(steps.value(from_second, 2), 0.2 / 200.0)
+
+
+class RaisedRungs(unittest.TestCase):
+    def raised_to(self, uplink_load: float, left_us: int) -> int:
+        """The rung of a session at the lowest after a look at its server, whose link is nearly free."""
+        made = controller(uplink_kb_per_s=4_000.0, rung_change_cost_s=0.5)
+        made.context.now = NOW
+        server, session_class = made.servers["s0"], made.classes["clip"]
+        session = SessionState(request("a", NOW), session_class, 0, admitted_rung=3, server=server)
+        session.phase, session.ends_at = SessionPhase.PLAYING, NOW + left_us
+        made.context.adopt(session, 0)
+        server.link.observe(0.1, NOW)
+        server.uplink.observe(uplink_load, NOW)
+        made.rungs.raise_rungs(server)
+        return session.rung
+
+    def test_session_is_raised_where_link_and_uplink_have_room(self) -> None:
+        self.assertEqual(self.raised_to(uplink_load=0.1, left_us=60 * SECOND), 1)
+
+    def test_session_behind_a_full_uplink_is_not_raised(self) -> None:
+        self.assertEqual(self.raised_to(uplink_load=0.99, left_us=60 * SECOND), 0)
+
+    def test_session_about_to_end_is_not_raised(self) -> None:
+        self.assertEqual(self.raised_to(uplink_load=0.1, left_us=2 * SECOND), 0)
--- a/tests/core/test_slow_start.py
+++ b/tests/core/test_slow_start.py
@@ -52,3 +52,11 @@
         slow_start.context.now += SECOND
         slow_start.record_start(server)
         self.assertEqual(server.warm_at, NOW + 10 * SECOND)
+
+    def test_first_attempt_waits_for_its_time(self) -> None:
+        slow_start, server = self.build(brokers=40)
+        slow_start.expect_start(server, NOW + 10 * SECOND)
+        server.first_attempt_at = NOW + 1
+        self.assertFalse(slow_start.slow_start_allows(server))
+        slow_start.context.now = NOW + 1
+        self.assertTrue(slow_start.slow_start_allows(server))
