--- a/lotuspick/core/controller.py
+++ b/lotuspick/core/controller.py
@@ -53,13 +53,13 @@
         self.queue_poll_pending = False
         self.upkeep_at = 0
 
-    def handle(self, now: int, news: Sequence[events.Event]) -> list[actions.Action]:
+    def handle(self, now: int, new_events: Sequence[events.Event]) -> list[actions.Action]:
         """Apply the events at clock time ``now`` (us); return the actions, in order.
 
         Raises:
             ValueError: an event's type or class is unknown; nothing has been applied.
         """
-        for event in news:
+        for event in new_events:
             if type(event) not in HANDLERS:
                 raise ValueError(f"unknown event {type(event).__name__}")
             if isinstance(event, events.SessionRequest) and event.session_class not in self.classes:
@@ -67,7 +67,7 @@
         context = self.context
         context.now, context.actions = now, [actions.Subscribe()] if self.subscription_due else []
         self.subscription_due = False
-        for event in news:
+        for event in new_events:
             self.constraint_provider.on_event(now, event)
             HANDLERS[type(event)](self, event)
         if self.queued:
--- a/lotuspick/routing/indeterminate_attempts.py
+++ b/lotuspick/routing/indeterminate_attempts.py
@@ -21,11 +21,11 @@
 
     def add(self, session: str, server: str, now: int) -> None:
         """Add an attempt that is withdrawn at ``now`` microseconds."""
-        self.settle(session, server)  # keeps the oldest first
+        self.resolve(session, server)  # keeps the oldest first
         self.since_us[session, server] = now
         self.servers.setdefault(session, set()).add(server)
 
-    def settle(self, session: str, server: str) -> bool:
+    def resolve(self, session: str, server: str) -> bool:
         """Remove an attempt whose end is known; returns False where it is not in here."""
         if self.since_us.pop((session, server), None) is None:
             return False
@@ -41,4 +41,4 @@
             (session, server), since_us = next(iter(self.since_us.items()))
             if since_us >= before_us:
                 break
-            self.settle(session, server)
+            self.resolve(session, server)
--- a/lotuspick/routing/message_handlers.py
+++ b/lotuspick/routing/message_handlers.py
@@ -237,7 +237,7 @@
         if entry is None:
             # Withdrawn while the answer was on its way: what it made is released. A second answer, and one to
             # an attempt that never went there, are dropped, so that nothing is cut that plays rightly.
-            if self.indeterminate.settle(session, server):
+            if self.indeterminate.resolve(session, server):
                 self.edge_servers.release(server, session, TerminationReason.REVOKED)
                 events.append(AttemptResolved(session, server, executed=True))
             return events
@@ -276,7 +276,7 @@
         if (
             not known
             and ATTEMPT_OUTCOMES[message.reason_before_answer] in PROVES_NOT_EXECUTED
-            and self.indeterminate.settle(session, server)
+            and self.indeterminate.resolve(session, server)
         ):
             events.append(AttemptResolved(session, server, executed=False))
         if message.load_report:
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -268,13 +268,13 @@
         made.add("s", "a", 1)
         made.add("s", "b", 2)
         made.add("t", "a", 3)
-        self.assertTrue(made.settle("s", "a"))
-        self.assertFalse(made.settle("s", "a"), "once")
+        self.assertTrue(made.resolve("s", "a"))
+        self.assertFalse(made.resolve("s", "a"), "once")
         self.assertIn("s", made)
         made.add("s", "b", 4)  # taken back again: the latest counts
         made.forget(4)
         self.assertNotIn("t", made)
-        self.assertTrue(made.settle("s", "b"))
+        self.assertTrue(made.resolve("s", "b"))
         self.assertEqual((made.since_us, made.servers), ({}, {}))
 
 
