--- a/benchmarks/core.py
+++ b/benchmarks/core.py
@@ -1,7 +1,7 @@
 """What a request and a tick cost the decisions alone, by rate, load of the links and number of nodes.
 
     python benchmarks/core.py                       # this tree
-    python benchmarks/core.py --against OTHER_TREE  # paired: both trees in turn, and the ratio of each pair
+    python benchmarks/core.py --against OTHER_TREE  # paired: both trees at once, and the ratio of each pair
     python benchmarks/core.py --against OTHER_TREE --case 60-100-full --case 240-100-free --pairs 12
 
 One controller, one tick of 10 ms, no network: sessions are requested, start 80 ms later, send a
@@ -13,10 +13,11 @@
 
 Each run is a process of its own that carries out the tree's own copy of this file on the tree's own
 sources, without ``site``: the import hook of an editable install would answer for modules that the other
-tree does not have, and the core needs the standard library alone. The trees of a pair run one after the
-other, on the same seed, and the tree that goes first alternates from pair to pair. Printed for each case
-and figure are the median of each tree, the ratio of this tree over the other in pairs (median, lowest to
-highest) and the ratio of their lowest values.
+tree does not have, and the core needs the standard library alone. The two processes of a pair take turns on
+one processor core, on the same seed, so that whatever else the machine does meets both alike: run one after
+the other, their ratio scatters by a third and more. The tree that starts first alternates from pair to
+pair. Printed for each case and figure are the median of each tree, the ratio of this tree over the other in
+pairs (median, lowest to highest) and the ratio of their lowest values.
 """
 
 from __future__ import annotations
@@ -76,22 +77,37 @@
     return figures
 
 
-def run_in_tree(tree: Path, *arguments: str) -> str:
-    """Run the interpreter on the sources of a tree alone; what it prints.
-
-    Raises:
-        BenchmarkError: it failed; the message ends with what it wrote as its error.
-    """
-    done = subprocess.run(
-        [sys.executable, "-B", "-S", "-P", *arguments],
-        cwd=tree,
-        env={**os.environ, "PYTHONPATH": str(tree)},
-        capture_output=True,
-        text=True,
-    )
-    if done.returncode != 0:
-        raise BenchmarkError(f"{' '.join(arguments)} failed in {tree}:\n{done.stderr.strip()}")
-    return done.stdout
+@dataclass(frozen=True)
+class TreeProcess:
+    """An interpreter that runs on the sources of a tree alone."""
+
+    tree: Path
+    arguments: tuple[str, ...]
+    process: subprocess.Popen[str]
+
+    @classmethod
+    def start(cls, tree: Path, *arguments: str) -> TreeProcess:
+        """Start it; what it prints is kept until :meth:`output`."""
+        process = subprocess.Popen(
+            [sys.executable, "-B", "-S", "-P", *arguments],
+            cwd=tree,
+            env={**os.environ, "PYTHONPATH": str(tree)},
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            text=True,
+        )
+        return cls(tree, arguments, process)
+
+    def output(self) -> str:
+        """Wait for its end; what it printed.
+
+        Raises:
+            BenchmarkError: it failed; the message ends with what it wrote as its error.
+        """
+        printed, error = self.process.communicate()
+        if self.process.returncode != 0:
+            raise BenchmarkError(f"{' '.join(self.arguments)} failed in {self.tree}:\n{error.strip()}")
+        return printed
 
 
 def check_tree(tree: Path) -> None:
@@ -102,27 +118,32 @@
     """
     if not (tree / SCRIPT).is_file():
         raise BenchmarkError(f"{tree} has no {SCRIPT}")
-    file = run_in_tree(tree, "-c", f"import {PACKAGE}; print({PACKAGE}.__file__)").strip()
+    file = TreeProcess.start(tree, "-c", f"import {PACKAGE}; print({PACKAGE}.__file__)").output().strip()
     check_module_file(file, tree)
 
 
-def measure(tree: Path, case: Case, seed: int) -> list[float]:
-    """Microseconds of one run of a tree's own benchmark, one for each of ``FIGURES``."""
+def start_run(tree: Path, case: Case, seed: int) -> TreeProcess:
+    """Start one run of a tree's own benchmark; it prints microseconds, one for each of ``FIGURES``."""
     arguments = json.dumps([case.nodes, case.rate_per_s, case.links_full, seed])
-    figures: list[float] = json.loads(run_in_tree(tree, str(tree / SCRIPT), "--one", arguments))
-    return figures
+    return TreeProcess.start(tree, str(tree / SCRIPT), "--one", arguments)
 
 
-def measure_in_turn(trees: Sequence[Path], case: Case, pairs: int, seeds: int) -> list[list[list[float]]]:
-    """The figures of the runs of each tree, pair after pair."""
+def measure_pairs(trees: Sequence[Path], case: Case, pairs: int, seeds: int) -> list[list[list[float]]]:
+    """The figures of the runs of each tree, pair after pair; those of a pair run at the same time."""
     runs: list[list[list[float]]] = [[] for _ in trees]
     for pair in range(pairs):
         seed = 1 + pair % seeds
-        for index in run_order(trees, pair):
-            runs[index].append(measure(trees[index], case, seed))
+        started = {index: start_run(trees[index], case, seed) for index in run_order(trees, pair)}
+        for index, run in started.items():
+            runs[index].append(json.loads(run.output()))
     return runs
 
 
+def use_one_core() -> None:
+    """Have this process and those that it starts run on one core, the last of those that it may use."""
+    os.sched_setaffinity(0, {max(os.sched_getaffinity(0))})
+
+
 def compare(ours: Sequence[float], theirs: Sequence[float]) -> str:
     """Ratios of a figure of this tree over the other's: in pairs, and of the lowest values."""
     ratios = sorted(our / their for our, their in zip(ours, theirs))
@@ -136,7 +157,7 @@
     ratio_columns = f" {'ratio of pairs':24} of lowest" if len(trees) > 1 else ""
     yield f"nodes rate full figure  {columns}{ratio_columns}"
     for case in cases:
-        runs = measure_in_turn(trees, case, pairs, seeds)
+        runs = measure_pairs(trees, case, pairs, seeds)
         for position, figure in enumerate(FIGURES):
             values = [[run[position] for run in runs_of_tree] for runs_of_tree in runs]
             words = [f"{statistics.median(each):7.0f}" for each in values]
@@ -176,6 +197,7 @@
         if given.one:
             print(json.dumps(run_here(*json.loads(given.one))))
             return
+        use_one_core()
         trees = [THIS_TREE, *([given.against.resolve()] if given.against else [])]
         for tree in trees:
             check_tree(tree)
