--- a/tests/scenario_viewers.py
+++ b/tests/scenario_viewers.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import errno
 import http.client
 import socket
 from typing import TYPE_CHECKING, BinaryIO
@@ -98,7 +99,11 @@
         elif how == "half":
             self.socket.shutdown(socket.SHUT_WR)
         else:
-            self.socket.shutdown(socket.SHUT_RDWR)
+            try:
+                self.socket.shutdown(socket.SHUT_RDWR)
+            except OSError as error:
+                if error.errno != errno.ENOTCONN:  # the broker was faster, and closed it for a newcomer
+                    raise
             self.socket.close()
 
 
