--- a/lotuspick/lab/emulator/cluster.py
+++ b/lotuspick/lab/emulator/cluster.py
@@ -40,7 +40,7 @@
         self.nodes = [MediaNode(simulation, index) for index in range(simulation.spec.nodes)]
         self.nodes_by_name = {node.name: node for node in self.nodes}
         self.endpoint_list = {node.name: node.entry() for node in self.nodes}
-        """What the coordinator has told."""
+        """The endpoint list as the coordinator has published it."""
         self.brokers: list[EmulatedBroker] = []
         self.late_list_faults = 0
         """Faults at present by which the endpoint list runs late."""
--- a/lotuspick/lab/emulator/spec.py
+++ b/lotuspick/lab/emulator/spec.py
@@ -62,7 +62,7 @@
     NOTIFICATIONS_MUTE = "mute"
     """No load notifications arrive."""
     NODE_DRAINING = "drain"
-    """A node is told to leave."""
+    """A node is set to draining."""
     BROKER_KILLED = "kill"
     """A broker is killed, and back at the end."""
     PLAN_STALE = "stale"
--- a/lotuspick/lab/net/simulated_network.py
+++ b/lotuspick/lab/net/simulated_network.py
@@ -78,7 +78,7 @@
 
 
 class Notification(NamedTuple):
-    """What a state machine told its own broker."""
+    """A notification of a state machine to its own broker."""
 
     at_us: int
     host: str
--- a/lotuspick/membership/model.py
+++ b/lotuspick/membership/model.py
@@ -70,7 +70,7 @@
         return self.incarnation, self.process_id, self.state is State.LEFT, self.refutation, self.state
 
     def supersedes(self, other: Record) -> bool:
-        """Whether it stands against another of the same name."""
+        """Whether it takes precedence over another of the same name."""
         return self.rank > other.rank
 
 
@@ -166,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Displaced:
-    """Notification: another process has this broker's name, and stands; this one is to stop."""
+    """Notification: another process has this broker's name and takes precedence; this one is to stop."""
 
     record: Record
 
--- a/lotuspick/membership/quorum.py
+++ b/lotuspick/membership/quorum.py
@@ -31,7 +31,7 @@
 
 
 class QuorumState(IntEnum):
-    """How a broker stands to the others, the worst first.
+    """Which part of its fleet a broker reaches, the worst first.
 
     Names go in lower case into settings, log lines, answers to operators and reasons for viewers: none may
     change.
